--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -113,7 +113,7 @@
                 DedupScope::Zone => a.zone == server.zone,
                 DedupScope::Cell => a.cell == server.cell,
             };
-            in_scope && self.now - a.sent_at < class.repeat_window()
+            in_scope && self.now - a.sent_at < class.retry_window()
         };
         let ran = |a: &&Attempt| a.state != AttemptState::NeverRan;
         match class.retry_safety {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -377,7 +377,7 @@
 
 impl Class {
     /// How long after the first attempt that may have run a repeat may be sent.
-    pub fn repeat_window(&self) -> Micros {
+    pub fn retry_window(&self) -> Micros {
         let margin = REPEAT_MARGIN.min(self.dedup_window / REPEAT_MARGIN_DIVISOR);
         self.dedup_window - margin
     }
--- a/src/sidecar/driver/mod.rs
+++ b/src/sidecar/driver/mod.rs
@@ -105,7 +105,7 @@
         };
         let windows = settings.classes.iter().map(|class| {
             (class.retry_safety == RetrySafety::IdempotencyKey)
-                .then(|| Duration::from_micros(class.repeat_window()))
+                .then(|| Duration::from_micros(class.retry_window()))
         });
         let idempotency_windows = windows.collect();
         let deduplicated_everywhere =
