--- a/src/balancer/chips.rs
+++ b/src/balancer/chips.rs
@@ -1,22 +1,26 @@
-//! Confidence chips (Algorithm 1 of the paper): minted from reported queues, spent by attempts, wiped past capacity.
+//! Confidence chips (Algorithm 1 of the paper): minted by load reports, spent by attempts, and removed when a server
+//! reports a queue above its capacity.
 
 use super::*;
 
-/// A reported queue is measured against this share of the capacity.
-const CAPACITY_SHARE: f64 = 0.8;
-/// The paper's window for averages of reported queues, and how long no capacity is known.
+/// Share of the capacity at which a server counts as fully utilized.
+const FULL_UTILIZATION_SHARE: f64 = 0.8;
+/// Window of the averages of reported queues (from the paper), in microseconds. No capacity is known before the end
+/// of the first window.
 const CAPACITY_WINDOW: Micros = 30_000_000;
-/// The least capacity of a server, in queued requests: an average near zero would wipe chips at the first request.
+/// Lower limit of a server's capacity, in queued requests. With an average near zero, the first queued request would
+/// remove all chips.
 const MIN_CAPACITY: f64 = 4.0;
-/// Chips a server can hold here: enough for a burst, few enough that a wipe costs little to regain.
+/// Maximum number of chips per server. Enough for a burst, and few enough to be regained soon after their removal.
 const MAX_CHIPS: u32 = 16;
 
-/// A server's capacity: the average of its reported queues over the last full window.
+/// Estimates a server's capacity as the average of its reported queues over the last complete window.
 #[derive(Debug, Default)]
 pub(super) struct CapacityEstimate {
     window_start: Micros,
     sum: f64,
     count: f64,
+    /// Average of the last complete window; `None` before its end.
     last: Option<f64>,
 }
 
@@ -35,12 +39,13 @@
 }
 
 impl Balancer {
-    /// Whether a server holds a chip, or has not been heard of for so long that it gets a trial.
+    /// Returns whether a server holds a chip, or has not responded for so long that it is tried without one.
     pub(super) fn has_confidence(&self, server: &Server) -> bool {
         let is_old = |at: Micros| self.now - at > self.reset_interval;
         server.chips > 0 || server.last_response.is_none_or(is_old)
     }
 
+    /// Takes a chip from a server that gets an attempt. An attempt without a chip restarts the reset interval.
     pub(super) fn spend_chip(&mut self, slot: Slot) {
         let server = &mut self.servers[slot];
         if server.chips > 0 {
@@ -50,13 +55,15 @@
         }
     }
 
-    pub(super) fn wipe_chips(&mut self, slot: Slot) {
+    /// Removes all chips of a server and restarts the reset interval.
+    pub(super) fn clear_chips(&mut self, slot: Slot) {
         let server = &mut self.servers[slot];
         server.chips = 0;
         server.last_response = Some(self.now);
     }
 
-    /// Takes a load report: mints chips from the queue, or wipes them when it is past capacity.
+    /// Records a load report. Mints chips according to the reported queue, or removes all chips if it is above the
+    /// server's capacity.
     pub(super) fn record_report(&mut self, slot: Slot, report: &LoadReport) {
         let value = |column: Option<usize>| {
             let value = column.and_then(|i| report.0.get(i)).copied()?;
@@ -71,17 +78,18 @@
             ewma(&mut self.mean_load, EWMA_WEIGHT, load / server.weight);
         }
         let Some(queue) = queue else {
-            // No queue reported: an answer in itself is the sign that another may follow.
+            // Without a reported queue, each response is taken as a sign that the server can take more requests.
             server.chips = (server.chips + 2).min(MAX_CHIPS);
             return;
         };
         server.capacity.add(self.now, queue);
         let utilization = match server.capacity.last.map(|c| c.max(MIN_CAPACITY)) {
-            Some(capacity) if queue > capacity => return self.wipe_chips(slot),
-            Some(capacity) => queue / (CAPACITY_SHARE * capacity),
+            Some(capacity) if queue > capacity => return self.clear_chips(slot),
+            Some(capacity) => queue / (FULL_UTILIZATION_SHARE * capacity),
             None => 0.0,
         };
-        // Less than one chip minted on average would starve a server that is hardly loaded: a second draw.
+        // A second draw mints more than one chip per response on average at low utilization. With less than one, even a
+        // lightly loaded server would run out of chips.
         let minted = u32::from(draws.0 >= utilization) + u32::from(draws.1 >= 2.0 * utilization);
         server.chips = (server.chips + minted).min(MAX_CHIPS);
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,7 +1,9 @@
-//! The decisions of the load balancer: a state machine without I/O, events in and actions out.
+//! The load-balancing decisions, as a state machine without I/O that maps events to actions.
 //!
-//! The usual path is the chip mechanism of the README: answers mint confidence chips, an attempt spends one, and of two
-//! random servers with chips the less used one gets the request. The gates in `retry` enforce the protocol's rules.
+//! Load reports on responses mint confidence chips, and each attempt spends one. Of two randomly drawn servers that
+//! hold chips, the less used one gets the request. The checks in `retry` enforce rules 1 to 3 of the protocol: one
+//! final answer in time (rule 1), no duplicate effects (rule 2), and no attempts to servers that drain or are removed
+//! (rule 3).
 
 mod admission;
 mod chips;
@@ -25,16 +27,19 @@
 use crate::settings::*;
 use state::*;
 
-/// The weight of a new sample in most moving averages: a quiet sidecar gets some in a few seconds.
+/// Weight of a new sample in most moving averages. Large enough for a sidecar with little traffic, which gets only a
+/// few samples within some seconds.
 const EWMA_WEIGHT: f64 = 0.15;
-/// Answer times count as so many times the mean at most: one heavy request is no slow server.
+/// Upper limit of a latency sample, as a multiple of the mean. Keeps one expensive request from making its server look
+/// slow.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
-/// The share of requests let through whatever the faults or the lateness, to see when they end.
+/// Share of requests that are always admitted despite faults or late responses, to detect the recovery.
 const MIN_ADMITTED_SHARE: f64 = 0.05;
-/// Servers in samples of the fleet: enough that a third of them is not there by chance.
-const FLEET_SAMPLE: usize = 16;
+/// Number of servers in a sample of the fleet. Large enough that a third of the sample being slow or faulty is not due
+/// to chance.
+const FLEET_SAMPLE_SIZE: usize = 16;
 
-/// One sidecar's decisions. The same settings, seed and events give the same actions.
+/// The decision engine of one sidecar. Deterministic: the same settings, seed and events give the same actions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -43,22 +48,25 @@
     servers: Vec<Server>,
     slots: FxHashMap<ServerId, Slot>,
     list_clock: slow_start::ListClock,
-    /// The servers that may be sent to, and this sidecar's own subset of them.
+    /// All servers in state [`Health::Ready`].
     ready: WeightedSlots,
+    /// The ready servers that this sidecar normally sends to.
     subset: WeightedSlots,
     weights_built_at: Micros,
     recent_capacity: slow_start::RecentCapacity,
-    /// The request rate for which the subset was sized.
+    /// Request rate, per second, for which the subset was sized.
     subset_rate: f64,
-    /// A hash ring of servers, for requests with an affinity key, and the keys of recent requests.
+    /// Hash ring for requests with an affinity key: points and their servers, sorted by point.
     ring: Vec<(u64, Slot)>,
+    /// Affinity keys of the latest requests, newest first.
     recent_keys: VecDeque<u64>,
+    /// Lower limit of the locality weight of remote servers.
     min_remote_weight: f64,
-    /// The load of local servers, as answers show it.
+    /// Moving average of the load of servers in the local zone, estimated from responses.
     local_load: f64,
-    /// The fault rate that a third of the subset stays under.
+    /// Fault rate that a third of the subset's servers do not exceed.
     baseline_fault_rate: f64,
-    /// Requests a second here, a moving average.
+    /// Moving average of the requests per second at this sidecar.
     request_rate: f64,
     last_request: Micros,
     requests: FxHashMap<RequestId, Request>,
@@ -66,23 +74,25 @@
     next_token: u32,
     classes: Vec<ClassStatistics>,
     lateness: admission::Lateness,
-    /// Moving average of reported loads, each over its server's weight.
+    /// Moving average of the reported loads, each divided by its server's weight.
     mean_load: f64,
     retry_budget: retry::RetryBudget,
+    /// Discovery polls that have failed in a row.
     failed_polls: u32,
     queue_column: Option<usize>,
     in_flight_column: Option<usize>,
     mean_latency: f64,
     mean_in_flight: f64,
+    /// Longest latency objective of all classes, in microseconds.
     longest_objective: f64,
-    /// The longest deadline; the paper's ResetInterval.
+    /// Longest deadline of all classes; the paper's ResetInterval.
     reset_interval: Micros,
 }
 
 impl Balancer {
-    /// A balancer that knows no servers yet. `seed` determines all of its random choices.
+    /// Creates a balancer with an empty endpoint list. `seed` determines all of its random choices.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Balancer {
-        let (longest_objective, reset_interval) = longest(&settings);
+        let (longest_objective, reset_interval) = longest_times(&settings);
         Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
@@ -119,26 +129,27 @@
         }
     }
 
-    /// Takes new settings that differ in limits and figures of the classes only. What was learned stays; requests under
-    /// way keep their deadlines.
+    /// Replaces the settings by new ones that differ only in the limits and in the values of the classes. Learned
+    /// statistics are kept, and requests in progress keep their deadlines.
     pub fn reconfigure(&mut self, settings: Settings) {
         if settings.classes.len() == self.classes.len() {
-            (self.longest_objective, self.reset_interval) = longest(&settings);
+            (self.longest_objective, self.reset_interval) = longest_times(&settings);
             self.settings = settings;
         }
     }
 
-    /// Sets this sidecar's part of the tier's retry budget: retries for each request, and how many may be saved up.
+    /// Sets this sidecar's part of the tier's retry budget: the retries earned per request, and the most that may
+    /// accumulate.
     pub fn set_retry_budget(&mut self, per_request: f64, max_saved: f64) {
         (self.retry_budget.per_request, self.retry_budget.max_saved) = (per_request, max_saved);
     }
 
-    /// Whether a server is ejected for its failures, until its next trial.
+    /// Returns whether a server is ejected for its failures until its next trial.
     pub fn is_ejected(&self, id: ServerId) -> bool {
         self.slots.get(&id).is_some_and(|&slot| self.servers[slot].ejected_until > self.now)
     }
 
-    /// Takes one event and appends what to do about it to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         match event {
@@ -149,11 +160,12 @@
                 }
             }
             Event::Request(request) => self.on_request(request, actions),
-            Event::FirstByte { id, attempt } => self.on_stream(id, attempt, actions),
+            Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::AttemptEnded(result) => {
                 self.record_result(&result);
-                // Opened for want of a better server, a connection would stay until its idle timeout. It may cost, and
-                // thousands of them fill the servers' connection tables.
+                // A connection to a server outside the subset was opened only because no better server was available.
+                // Left open until its idle timeout it may have a price, and the connections of thousands of sidecars
+                // fill the servers' connection tables.
                 let unused = |slot: &&Slot| self.servers[**slot].in_flight == 0;
                 let slot = self.slots.get(&result.server).filter(unused);
                 if slot.is_some_and(|slot| !self.subset.slots.contains(slot)) {
@@ -190,31 +202,34 @@
         actions.push(Action::SetTimer { delay, token });
     }
 
+    /// Draws a uniform random number in the range [0, 1).
     fn uniform(&mut self) -> f64 {
         unit_interval(self.rng.next_u64())
     }
 
+    /// Returns the latency objective of a class in microseconds.
     fn objective(&self, class: usize) -> f64 {
         self.settings.classes[class].latency_objective as f64
     }
 }
 
+/// Moves an exponentially weighted moving average towards a sample.
 fn ewma(mean: &mut f64, weight: f64, sample: f64) {
     *mean += weight * (sample - *mean);
 }
 
-/// The longest latency objective and the longest deadline of the classes.
-fn longest(settings: &Settings) -> (f64, Micros) {
+/// Returns the longest latency objective and the longest deadline of all classes.
+fn longest_times(settings: &Settings) -> (f64, Micros) {
     let longest = |of: fn(&Class) -> Micros| settings.classes.iter().map(of).max().unwrap_or(1);
     (longest(|c| c.latency_objective) as f64, longest(|c| c.deadline))
 }
 
-/// Maps random bits to a number from 0 up to 1.
+/// Maps random bits to a uniform number in the range [0, 1).
 fn unit_interval(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Hashes a number (the finalizer of splitmix64).
+/// Hashes a number with one step of splitmix64.
 fn hash(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,18 +1,20 @@
-//! What the end of an attempt tells of its server.
+//! Updates the statistics of a server from the outcomes of its attempts.
 
 use super::retry::MAX_REJECTED_ATTEMPTS;
 use super::*;
 
-/// The weight of an answer time in a server's average: a quiet sidecar gets one in seconds only.
+/// Weight of a sample in a server's average latency. Large, as a sidecar with little traffic gets one sample per
+/// server in several seconds.
 const LATENCY_EWMA_WEIGHT: f64 = 0.3;
-/// The weight of an answer time below the low quantile of its class: that is quick to fall.
+/// Weight of a latency below the base latency of its class, which falls quickly.
 const BASE_LATENCY_FALL: f64 = 0.5;
-/// The same of one above it: that is slow to rise.
+/// Weight of a latency above the base latency of its class, which rises slowly.
 const BASE_LATENCY_RISE: f64 = 0.02;
-/// The answer time, in latency objectives, that is assumed of what has not come by its objective.
+/// Latency assumed for an attempt without a response at its latency objective, as a multiple of the objective.
 const OVERDUE_OBJECTIVES: f64 = 1.5;
 
 impl Balancer {
+    /// Records the end of an attempt in the statistics of its server and class.
     pub(super) fn record_result(&mut self, result: &AttemptEnd) {
         let &AttemptEnd { server, outcome, .. } = result;
         let Some(request) = self.requests.get(&result.id) else { return };
@@ -21,7 +23,7 @@
         let is_open = |a: &&Attempt| a.state == AttemptState::InFlight && a.server == server;
         let Some(attempt) = request.attempts.get(result.attempt).filter(is_open) else { return };
         let (slot, sent_at) = (attempt.slot, attempt.sent_at);
-        let pause = self.reset_interval as f64 * (0.75 + 0.5 * self.uniform());
+        let ejection_time = self.reset_interval as f64 * (0.75 + 0.5 * self.uniform());
         if !self.record_end(slot, server, outcome, sent_at) {
             return;
         }
@@ -36,22 +38,22 @@
                 self.record_latency(slot, class, result.latency as f64 / relative_work);
             }
             Outcome::Rejected => {
-                self.wipe_chips(slot);
-                // Where queues are short, servers reject long before answers are late. A rejection tells of the fleet
-                // only when the request found no place at all.
+                self.clear_chips(slot);
+                // Servers with short queues reject requests long before their responses are late. A rejection shows an
+                // overload of the fleet only if the request was rejected by all servers that it was sent to.
                 if attempts >= MAX_REJECTED_ATTEMPTS {
                     self.record_lateness(slot, class, self.objective(class));
                 }
             }
-            _ => self.on_failure(slot, outcome, sent_at, pause),
+            _ => self.on_failure(slot, outcome, sent_at, ejection_time),
         }
     }
 
-    /// Takes an attempt off the server's count. Returns whether its outcome tells of the server.
+    /// Removes an attempt from those in flight. Returns whether its outcome says anything about the server.
     fn record_end(&mut self, slot: Slot, id: ServerId, outcome: Outcome, sent_at: Micros) -> bool {
         let server = &mut self.servers[slot];
         server.in_flight = server.in_flight.saturating_sub(1);
-        // A cancelled attempt leaves no answer; a server with nothing in flight is not silent.
+        // A server with nothing in flight is not silent: a cancelled attempt gets no response.
         server.silent_since = server.silent_since.filter(|_| server.in_flight > 0);
         if server.id != id || matches!(outcome, Outcome::NotSent | Outcome::Cancelled) {
             return false;
@@ -59,12 +61,12 @@
         if matches!(outcome, Outcome::Success | Outcome::ErrorResponse | Outcome::Rejected) {
             server.silent_since = (server.in_flight > 0).then_some(self.now);
             server.last_response = Some(self.now);
-            server.last_answered_send = server.last_answered_send.max(sent_at);
+            server.last_answered_sent_at = server.last_answered_sent_at.max(sent_at);
         }
         true
     }
 
-    /// Takes an answer time in microseconds, for usual work of its class.
+    /// Records a latency in microseconds, divided by the relative work of its request.
     fn record_latency(&mut self, slot: Slot, class: usize, latency: f64) {
         let statistics = &mut self.classes[class];
         if !std::mem::replace(&mut statistics.has_samples, true) {
@@ -82,7 +84,8 @@
         let load = relative * (1.0 + reported / server.weight);
         self.update_spillover(slot, load);
         if latency < self.objective(class) {
-            // One heavy request looks like a long queue: the answer time to be expected by the report counts as much.
+            // An expensive request looks like a long queue, so the latency expected from the reported load counts for
+            // half.
             let mut expected = latency;
             if self.in_flight_column.is_some() {
                 let in_flight = 1.0 + reported;
@@ -94,20 +97,20 @@
         }
     }
 
-    /// With few requests of its own, a sidecar that waits for late answers would learn of an overload when it is over:
-    /// not having come by the objective counts.
+    /// Counts attempts without a response at the latency objective of their request as late. A sidecar with few
+    /// requests that waited for the late responses would detect an overload only when it is over.
     pub(super) fn on_objective_passed(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else { return };
         let class = request.class;
         let objective = self.settings.classes[class].latency_objective;
-        // A retry that went out just now is not late because the first attempt failed; and where the server has
-        // answered what was sent later, this one is lost or heavy. Taken for an overload, broken connections would
-        // shed traffic.
-        let overdue = |a: &&Attempt| {
+        // A retry that was sent recently is not late because the first attempt failed. If the server has answered an
+        // attempt that was sent later, this one was lost or is expensive. Counting these as late would shed load
+        // because of broken connections.
+        let is_overdue = |a: &&Attempt| {
             let due = a.state == AttemptState::InFlight && self.now - a.sent_at >= objective;
-            due && self.servers[a.slot].last_answered_send <= a.sent_at
+            due && self.servers[a.slot].last_answered_sent_at <= a.sent_at
         };
-        let overdue = request.attempts.iter().filter(overdue).map(|a| a.slot);
+        let overdue = request.attempts.iter().filter(is_overdue).map(|a| a.slot);
         for slot in overdue.collect::<SmallVec<[Slot; 2]>>() {
             let relative_latency = &mut self.servers[slot].relative_latency;
             ewma(relative_latency, LATENCY_EWMA_WEIGHT, MAX_RELATIVE_LATENCY);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,36 +1,41 @@
-//! Attempts: the only gates of attempts and of final answers, what rule 2 (no duplicate effects) and the retry budget
-//! allow.
+//! Attempts, retries and final answers. All of them pass the checks in this module: rule 2 (no duplicate effects) and
+//! the retry budget.
 
 use super::*;
 
-/// Attempts that a rejected request may cost in all, if the settings allow as many.
+/// Maximum number of attempts of a request in total for a retry of one that never ran, such as a rejected one. The
+/// settings may allow fewer.
 pub(super) const MAX_REJECTED_ATTEMPTS: usize = 4;
-/// When a rejected client should come back, in longest latency objectives, give or take half: not all come back
-/// together.
+/// Mean Retry-After of a rejection, as a multiple of the longest latency objective. It is jittered by half, so that
+/// rejected clients do not retry at the same time.
 const RETRY_AFTER_OBJECTIVES: f64 = 1.0;
 
-/// The retries that may be sent after failures; few saved up, so that one bad server does not spend a minute's worth.
+/// Budget of retries after failures. Only a few may accumulate, so that one bad server cannot use up the retries of a
+/// minute.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
+    /// Retries available now.
     pub(super) saved: f64,
+    /// Retries earned by each request.
     pub(super) per_request: f64,
+    /// Upper limit of `saved`.
     pub(super) max_saved: f64,
 }
 
 impl Balancer {
-    /// Picks a server and sends the request there; returns whether it was sent.
-    pub(super) fn attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Selects a server and sends an attempt there. Returns whether it was sent.
+    pub(super) fn start_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.remove(&id) else { return false };
-        let slot = self.pick(&request);
+        let slot = self.select_server(&request);
         if request.attempts.is_empty() {
             self.recent_keys.push_front(request.affinity_key);
-            self.recent_keys.truncate(selection::RECENT_KEYS);
+            self.recent_keys.truncate(selection::MAX_RECENT_KEYS);
         }
         self.requests.insert(id, request);
         slot.is_some_and(|slot| self.send(id, slot, actions))
     }
 
-    /// The one gate of all attempts.
+    /// Sends an attempt if the rules allow it. This is the only place that emits [`Action::Send`].
     fn send(&mut self, id: RequestId, slot: Slot, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let server = &self.servers[slot];
@@ -51,7 +56,8 @@
         true
     }
 
-    /// The one gate of all rejections and failures.
+    /// Ends a request with a rejection, or with a failure if it may have run and a retry by the client would not be
+    /// safe. This is the only place that emits [`Action::Reject`] and [`Action::Fail`].
     pub(super) fn end(&mut self, id: RequestId, reason: EndReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else { return };
         actions.push(if self.is_safe_to_reject(request) {
@@ -68,24 +74,31 @@
         self.finish(id, actions);
     }
 
-    /// After a request's end: cancels what is in flight and forgets the request when nothing is.
+    /// Cleans up after the end of a request: cancels its attempts in flight, and removes it once there are none.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.in_flight() == 0 {
             self.requests.remove(&id);
         } else if !request.streaming {
-            self.cancel(id, None, actions);
+            self.cancel_attempts(id, None, actions);
         }
     }
 
-    pub(super) fn on_stream(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
+    /// Handles the first byte of a streamed response: the other attempts are cancelled.
+    pub(super) fn on_first_byte(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
-            self.cancel(id, Some(attempt), actions);
+            self.cancel_attempts(id, Some(attempt), actions);
         }
     }
 
-    fn cancel(&self, id: RequestId, except: Option<usize>, actions: &mut Vec<Action>) {
+    /// Cancels the attempts in flight of a request, except one, if the settings allow cancellation.
+    fn cancel_attempts(&self, id: RequestId, except: Option<usize>, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         for (attempt, a) in request.attempts.iter().enumerate() {
             let cancels = self.settings.limits.may_cancel && Some(attempt) != except;
@@ -95,7 +108,7 @@
         }
     }
 
-    /// Whether a server may get (another) attempt of a request.
+    /// Returns whether a server may get an attempt of a request, which may be a retry or a hedge.
     pub(super) fn may_attempt(&self, request: &Request, server: &Server) -> bool {
         let class = &self.settings.classes[request.class];
         let limits = &self.settings.limits;
@@ -123,7 +136,7 @@
         }
     }
 
-    /// Whether the client may be told that it is safe to try again.
+    /// Returns whether the client may be told that a retry is safe.
     fn is_safe_to_reject(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
         let is_safe_to_repeat = match class.retry_safety {
@@ -134,7 +147,7 @@
         is_safe_to_repeat || request.never_ran()
     }
 
-    /// What the end of an attempt means for its request: an end, a retry, or waiting for others.
+    /// Ends or retries a request after the end of an attempt, unless other attempts are still in flight.
     pub(super) fn after_attempt(&mut self, result: &AttemptEnd, actions: &mut Vec<Action>) {
         let (id, never_ran) = (result.id, result.outcome.never_ran());
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -147,15 +160,17 @@
         if request.in_flight() > 0 {
             return;
         }
-        // A stream has no deadline: nothing else ends a request whose stream was cancelled as its first byte came.
+        // A request whose stream was cancelled as its first byte arrived has no deadline any more, so it must end here.
         if request.streaming {
             return self.end(id, EndReason::AttemptsFailed, actions);
         }
         if self.now >= request.deadline {
             return self.end(id, EndReason::DeadlineExceeded, actions);
         }
-        let free = never_ran && request.attempts.len() < MAX_REJECTED_ATTEMPTS;
-        if !(free || !never_ran && self.retry_budget.saved >= 1.0) || !self.attempt(id, actions) {
+        let is_free = never_ran && request.attempts.len() < MAX_REJECTED_ATTEMPTS;
+        if !(is_free || !never_ran && self.retry_budget.saved >= 1.0)
+            || !self.start_attempt(id, actions)
+        {
             self.end(id, EndReason::AttemptsFailed, actions);
         } else if !never_ran {
             self.retry_budget.saved -= 1.0;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,97 +1,106 @@
-//! Selection (Algorithm 3 of the paper): two random picks, by weight, among the servers of this sidecar's subset.
+//! Server selection (Algorithm 3 of the paper): the better of two weighted random picks from this sidecar's subset.
 
 use super::*;
 
-/// Draws for each of the two picks. With half of the servers ejected, one in 250 picks finds none.
-const REDRAWS: usize = 8;
-/// Up to here a server may look slow by chance: a dozen answers with a spread of once their mean.
+/// Maximum number of draws for each of the two picks. With half of the servers ejected, one in 250 picks finds none.
+const DRAWS_PER_PICK: usize = 8;
+/// Relative latency up to which a server does not count as slow. A dozen latencies with a standard deviation equal to
+/// their mean reach it by chance.
 const LATENCY_TOLERANCE: f64 = 1.6;
-/// The time constant with which a load report fades, in longest latency objectives.
+/// Time constant of the decay of a load report towards the mean load, as a multiple of the longest latency objective.
 const REPORT_DECAY_OBJECTIVES: f64 = 2.0;
-/// The least size of a subset: two bad servers must leave a choice, and the load of subsets must even out.
+/// Minimum size of a subset. Two bad servers must leave a choice, and the subsets of all sidecars must load the servers
+/// evenly.
 const MIN_SUBSET_SIZE: usize = 5;
-/// What the open connections of all subsets may cost, in points of the result.
+/// Budget for the open connections of all sidecars, in points of the service's score.
 const CONNECTION_BUDGET_POINTS: f64 = 0.05;
-/// Points of a server of mean weight on the hash ring.
+/// Number of points on the hash ring of a server of mean weight.
 const RING_POINTS_PER_SERVER: f64 = 16.0;
-/// With fewer servers than this in its own zone, a sidecar puts keys on servers of all zones.
+/// Minimum number of servers in the local zone for a ring of local servers only. With fewer, the ring has the servers
+/// of all zones.
 const MIN_LOCAL_RING_SERVERS: usize = 3;
-/// How many of the last affinity keys are remembered.
-pub(super) const RECENT_KEYS: usize = 64;
+/// Maximum length of `Balancer::recent_keys`.
+pub(super) const MAX_RECENT_KEYS: usize = 64;
 
-/// What the draws for a request have found.
+/// The best candidates that the draws for a request have found so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct DrawnServers {
-    /// The less used of those with chips.
-    best: Option<Slot>,
-    /// The less used of those without.
+    /// The less used of those that hold chips.
+    with_chips: Option<Slot>,
+    /// The less used of those without chips.
     without_chips: Option<Slot>,
-    /// The first that was passed over, as it is slow or fails.
-    avoided: Option<Slot>,
+    /// The first one that was passed over for being slow or faulty.
+    passed_over: Option<Slot>,
 }
 
-/// The servers that are left where no draw found one.
+/// The servers that may still get a request for which no draw has found a server.
 #[derive(Debug, Default)]
 struct FallbackCandidates {
+    /// Available and warmed up.
     warm: Vec<Slot>,
-    /// In slow start.
+    /// Available and in slow start.
     warming: Vec<Slot>,
-    /// Ejected, and tried with one idempotent request at a time.
+    /// Ejected. They are tried with one idempotent request at a time.
     trials: Vec<Slot>,
 }
 
 impl Balancer {
-    /// The server for an attempt of a request; None if there is none that may get it.
-    pub(super) fn pick(&mut self, request: &Request) -> Option<Slot> {
+    /// Selects the server for an attempt of a request; `None` if no server may get it.
+    pub(super) fn select_server(&mut self, request: &Request) -> Option<Slot> {
         if self.ready.slots.is_empty() {
             return None;
         }
         self.refresh_weights();
         let owner = self.ring_owner(request.affinity_key);
         let panic = self.in_panic();
-        // When most servers have no chips, redraws and retries would pile onto those that are warming up and still
-        // have confidence. These can only be met on the first draw of the first attempt.
+        // When most servers have no chips, redraws and retries would concentrate on the servers that are warming up
+        // and still hold chips. So those are eligible only in the first draw of a pick, for the first attempt.
         let may_use_warming = request.attempts.is_empty() && self.may_use_warming();
         let mut drawn = DrawnServers::default();
         for pick in 0..2 {
-            for redraw in 0..REDRAWS {
+            for redraw in 0..DRAWS_PER_PICK {
                 let slot = self.draw(&drawn, owner.filter(|_| redraw == 0 && pick == 0), redraw);
                 let Some(slot) = slot else { continue };
                 let is_warming = self.slow_start_weight(&self.servers[slot]) < 1.0;
                 if is_warming && (redraw > 0 || !may_use_warming) {
                     continue;
                 }
-                if self.consider(request, slot, panic, &mut drawn) {
+                if self.record_candidate(request, slot, panic, &mut drawn) {
                     break;
                 }
             }
         }
-        let DrawnServers { best, without_chips, avoided } = drawn;
-        // Where servers reject what they have no capacity for, nothing is late, and requests over a quota would take
-        // the places of others. Without a chip they are rejected. Harmful where no server reports.
+        let DrawnServers { with_chips, without_chips, passed_over } = drawn;
+        // Servers that reject requests beyond their capacity have no late responses that would cause load shedding, so
+        // requests over a quota would take the capacity of others. They are rejected unless a server holds chips. Known
+        // weakness: a fleet without load reports.
         if request.over_quota {
-            return best;
+            return with_chips;
         }
-        let found = best.or(without_chips).or(avoided);
+        let found = with_chips.or(without_chips).or(passed_over);
         found.or_else(|| self.pick_fallback(request, panic, may_use_warming))
     }
 
-    /// Draws a server by weight, or takes the owner of the request's key; None if the owner is passed over.
+    /// Draws a server by weight, or returns the owner of the request's affinity key; `None` if the owner is passed
+    /// over.
     fn draw(&mut self, drawn: &DrawnServers, owner: Option<Slot>, redraw: usize) -> Option<Slot> {
-        // A subset without an available server is left for the whole fleet; a full one is not.
-        let leave_subset = redraw >= REDRAWS / 2 && drawn.best.or(drawn.without_chips).is_none();
+        // The later draws are from all ready servers if the subset seems to have no available server. Servers without
+        // chips count as available.
+        let leave_subset =
+            redraw >= DRAWS_PER_PICK / 2 && drawn.with_chips.or(drawn.without_chips).is_none();
         let position = self.uniform();
         let Some(owner) = owner else {
             return Some(if leave_subset { &self.ready } else { &self.subset }.at(position));
         };
-        // A server that is warming up must not get all of the keys that it owns.
-        let warm = self.slow_start_weight(&self.servers[owner]);
-        let passed_over = warm < 1.0 && self.uniform() > warm;
+        // A server in slow start gets only a part of the requests for the keys that it owns.
+        let weight = self.slow_start_weight(&self.servers[owner]);
+        let passed_over = weight < 1.0 && self.uniform() > weight;
         (!passed_over).then_some(owner)
     }
 
-    /// Notes what a drawn server is to a request. Returns whether it is one with chips that may get it.
-    fn consider(
+    /// Records a drawn server as a candidate for a request. Returns whether it may get the request and holds chips,
+    /// which ends the pick.
+    fn record_candidate(
         &mut self,
         request: &Request,
         slot: Slot,
@@ -99,36 +108,37 @@
         drawn: &mut DrawnServers,
     ) -> bool {
         let available = self.is_available(&self.servers[slot], panic);
-        if drawn.best == Some(slot) || !available || !self.may_use(request, slot) {
+        if drawn.with_chips == Some(slot) || !available || !self.may_use(request, slot) {
             return false;
         }
-        if self.passes_over(request, slot) {
-            // Where nearly all draws are passed over, a request would find no server.
-            drawn.avoided.get_or_insert(slot);
+        if self.is_passed_over(request, slot) {
+            // The last resort if nearly all draws are passed over.
+            drawn.passed_over.get_or_insert(slot);
             return false;
         }
         let has_chips = self.has_confidence(&self.servers[slot]);
-        let place = if has_chips { &mut drawn.best } else { &mut drawn.without_chips };
-        *place = Some(self.less_used(*place, slot));
+        let candidate = if has_chips { &mut drawn.with_chips } else { &mut drawn.without_chips };
+        *candidate = Some(self.less_used(*candidate, slot));
         has_chips
     }
 
+    /// Returns whether a server may get the next attempt of a request. It must not have had one before.
     fn may_use(&self, request: &Request, slot: Slot) -> bool {
         let used = request.attempts.iter().any(|a| a.slot == slot);
         !used && self.may_attempt(request, &self.servers[slot])
     }
 
-    /// Passes a server over at random: the slower beside its peers, or the more it fails, the more often. One that is
-    /// slow but answers would keep its share and make it late.
-    fn passes_over(&mut self, request: &Request, slot: Slot) -> bool {
+    /// Decides at random whether to pass over a server. The probability grows with its relative latency and its fault
+    /// rate. Without this, a slow server that still responds would keep its share of the requests and make them late.
+    fn is_passed_over(&mut self, request: &Request, slot: Slot) -> bool {
         let server = &self.servers[slot];
         let slowness = (server.relative_latency / LATENCY_TOLERANCE).max(1.0);
-        let taken = (1.0 - self.fault_avoidance(request, server)) / (slowness * slowness);
-        taken < 1.0 && self.uniform() > taken
+        let acceptance = (1.0 - self.fault_avoidance(request, server)) / (slowness * slowness);
+        acceptance < 1.0 && self.uniform() > acceptance
     }
 
-    /// Picks where no draw found a server: with the local zone ejected, nearly all draws fall on it while remote
-    /// servers stand idle. The less used of two of those left is taken.
+    /// Selects a server when no draw has found one: the less used of two random ones among the remaining candidates.
+    /// This happens when the local zone is ejected, as nearly all draws fall on it while remote servers are idle.
     fn pick_fallback(
         &mut self,
         request: &Request,
@@ -136,24 +146,24 @@
         may_use_warming: bool,
     ) -> Option<Slot> {
         let draws = [(); 3].map(|()| self.uniform());
-        let mut left = self.fallback_candidates(request, panic);
-        let takes_warming = may_use_warming && self.warming_turn(&left, draws[2]);
-        if !takes_warming {
-            left.warming.clear();
-        } else if !left.warming.is_empty() {
-            left.warm.clear();
+        let mut candidates = self.fallback_candidates(request, panic);
+        let uses_warming = may_use_warming && self.selects_warming(&candidates, draws[2]);
+        if !uses_warming {
+            candidates.warming.clear();
+        } else if !candidates.warming.is_empty() {
+            candidates.warm.clear();
         }
-        let tiers = [&left.warm, &left.warming, &left.trials];
-        let slots = tiers.into_iter().find(|slots| !slots.is_empty())?;
+        let groups = [&candidates.warm, &candidates.warming, &candidates.trials];
+        let slots = groups.into_iter().find(|slots| !slots.is_empty())?;
         Some(
             self.less_used(
-                Some(self.at_capacity(slots, draws[0])),
-                self.at_capacity(slots, draws[1]),
+                Some(self.at_position(slots, draws[0])),
+                self.at_position(slots, draws[1]),
             ),
         )
     }
 
-    /// The servers that the request may use, by what they are to it.
+    /// Returns the servers that may get the request, by group.
     fn fallback_candidates(&self, request: &Request, panic: bool) -> FallbackCandidates {
         let safety = self.settings.classes[request.class].retry_safety;
         let may_try = |s: &Server| safety == RetrySafety::Idempotent && s.in_flight == 0;
@@ -161,31 +171,35 @@
         for &slot in self.ready.slots.iter().filter(|&&slot| self.may_use(request, slot)) {
             let server = &self.servers[slot];
             let is_warming = self.slow_start_weight(server) < 1.0;
-            let tier = match (self.is_available(server, panic), is_warming) {
+            let group = match (self.is_available(server, panic), is_warming) {
                 (true, false) => &mut candidates.warm,
                 (true, true) => &mut candidates.warming,
                 (false, false) if may_try(server) => &mut candidates.trials,
                 (false, _) => continue,
             };
-            tier.push(slot);
+            group.push(slot);
         }
         candidates
     }
 
-    /// Whether a first attempt goes to a server that is warming up. Beside warm ones, of which a single one would
-    /// drown, these get their due; where no warm one is left, no oftener than brings them twice that: a fleet that
-    /// lost the others would overload them.
-    fn warming_turn(&self, left: &FallbackCandidates, draw: f64) -> bool {
-        let most = if left.warm.is_empty() { 2.0 } else { 1.0 };
-        draw * self.total_capacity(&self.ready.slots) <= most * self.total_capacity(&left.warming)
+    /// Decides by a random number whether a first attempt goes to a server that is warming up.
+    ///
+    /// Beside warm servers, those that are warming up get their share of the requests: otherwise a single warm server
+    /// would be overloaded. If no warm server is left, they get at most twice that share: the load of a fleet that has
+    /// lost its other servers would overload them.
+    fn selects_warming(&self, candidates: &FallbackCandidates, draw: f64) -> bool {
+        let max_multiple = if candidates.warm.is_empty() { 2.0 } else { 1.0 };
+        draw * self.total_capacity(&self.ready.slots)
+            <= max_multiple * self.total_capacity(&candidates.warming)
     }
 
+    /// Returns the sum of the available weights of servers.
     pub(super) fn total_capacity(&self, slots: &[Slot]) -> f64 {
         slots.iter().map(|&slot| self.available_weight(&self.servers[slot])).sum()
     }
 
-    /// The server at a position from 0 up to 1 of the sum of capacities.
-    fn at_capacity(&self, slots: &[Slot], position: f64) -> Slot {
+    /// Returns the server at a position, in the range [0, 1), of the cumulative available weight.
+    fn at_position(&self, slots: &[Slot], position: f64) -> Slot {
         let mut target = position * self.total_capacity(slots);
         let found = slots.iter().find(|&&slot| {
             target -= self.available_weight(&self.servers[slot]);
@@ -194,26 +208,28 @@
         *found.unwrap_or(&slots[0])
     }
 
-    /// The less used of two servers by our own count; the last reports settle a tie.
+    /// Returns the less used of two servers by this sidecar's attempts in flight. The expected load decides a tie.
     fn less_used(&self, first: Option<Slot>, second: Slot) -> Slot {
         let Some(first) = first else { return second };
         let [a, b] = [first, second].map(|slot| &self.servers[slot]);
         let used = |s: &Server| f64::from(s.in_flight) / (s.weight * self.slow_start_weight(s));
         let (used_a, used_b) = (used(a), used(b));
-        let first_is_less = used_a < used_b || (used_a == used_b && self.cost(a) <= self.cost(b));
-        if first_is_less { first } else { second }
+        let first_is_less_used =
+            used_a < used_b || (used_a == used_b && self.expected_load(a) <= self.expected_load(b));
+        if first_is_less_used { first } else { second }
     }
 
-    /// A server's load beyond our own count: its last report, fading towards the mean. An unknown server must look
-    /// usual, or a new one would draw all or none.
-    fn cost(&self, server: &Server) -> f64 {
+    /// Estimates the load of a server from its last report, which decays towards the mean load of all servers. A server
+    /// without a report counts as average: otherwise a new server would get all requests or none.
+    fn expected_load(&self, server: &Server) -> f64 {
         let age = self.now.saturating_sub(server.load_reported_at) as f64;
         let fresh = (-age / (REPORT_DECAY_OBJECTIVES * self.longest_objective)).exp();
         let load = server.load / (server.weight * self.slow_start_weight(server));
         let expected = 1.0 + fresh * load + (1.0 - fresh) * self.mean_load;
-        expected * server.relative_latency * self.load_log(server).exp()
+        expected * server.relative_latency * self.tolerated_load_log(server).exp()
     }
 
+    /// Returns the weight of a server by its size according to discovery; 1 if the listed weights do not express sizes.
     pub(super) fn listed_weight(&self, server: &Server) -> f64 {
         match self.settings.weight_kind {
             WeightKind::Nominal | WeightKind::Approximate => server.weight,
@@ -221,14 +237,15 @@
         }
     }
 
-    /// What a server surely can take, as far as its size and start tell. Drawn by this capacity, one that is warming
-    /// up gets its due even if all sidecars do the same.
+    /// Returns the capacity that a server has at least, by its size and its slow start. Drawn by this weight, a
+    /// server in slow start gets no more than it can serve, even if all sidecars do the same.
     pub(super) fn available_weight(&self, server: &Server) -> f64 {
         self.listed_weight(server) * self.slow_start_weight(server)
     }
 
-    /// Chooses this sidecar's subset by rendezvous hashing, sized by what it can keep fresh. A quiet sidecar that
-    /// sends to the whole fleet hears of a server once in a minute, and thousands fill the servers' connection tables.
+    /// Selects this sidecar's subset by rendezvous hashing. The size depends on its request rate: a sidecar with little
+    /// traffic that sends to the whole fleet would get a load report of each server only once in a minute, and the
+    /// connections of thousands of such sidecars would fill the servers' connection tables.
     pub(super) fn rebuild_subset(&mut self) {
         let ready = |&slot: &Slot| self.servers[slot].health == Health::Ready;
         self.ready.slots = (0..self.servers.len()).filter(ready).collect();
@@ -246,25 +263,29 @@
         self.rebuild_weights();
     }
 
+    /// Returns the weighted rendezvous hash of a server for this instance. The lowest ranks form the subset.
     fn subset_rank(&self, server: &Server) -> f64 {
         let u = unit_interval(hash(server.id.0 ^ hash(u64::from(self.settings.instance))));
         -u.max(f64::MIN_POSITIVE).ln() / self.initial_locality_weight(server)
     }
 
+    /// Returns the size of the subset of a fleet with so many ready servers.
     fn subset_size(&self, servers: usize) -> usize {
         let mut size = MIN_SUBSET_SIZE;
-        // Open connections can cost more than the choice earns: the subset is cut to what a set price buys.
+        // Open connections can cost more than the wider choice is worth. If they have a price, the budget limits the
+        // subset.
         if self.settings.prices.connection > 0.0 {
-            let each = self.settings.prices.connection * f64::from(self.settings.instances);
-            let budget = CONNECTION_BUDGET_POINTS * 100.0 * servers as f64 / each.max(1e-9);
-            size = size.min((budget as usize).max(2));
+            let price = self.settings.prices.connection * f64::from(self.settings.instances);
+            let affordable = CONNECTION_BUDGET_POINTS * 100.0 * servers as f64 / price.max(1e-9);
+            size = size.min((affordable as usize).max(2));
         }
-        // The few busy sidecars together on few servers would overload one that is warming up.
+        // A busy sidecar needs a larger subset: a few busy sidecars on the same few servers would overload one that is
+        // warming up.
         size.max((self.request_rate * self.reset_interval as f64 / 1e6) as usize)
     }
 
-    /// Kept apart by their keys, requests reach every server from every sidecar: where connections have a price there
-    /// is no ring, as where keys are of no use.
+    /// Builds the hash ring. It is empty if servers do not benefit from affinity, or if connections have a price:
+    /// distributing requests by key needs connections from every sidecar to every server.
     fn build_ring(&self) -> Vec<(u64, Slot)> {
         let (prices, traits) = (&self.settings.prices, &self.settings.service_traits);
         if !traits.key_affinity || prices.connection + prices.handshake > 0.0 {
@@ -287,8 +308,9 @@
         ring
     }
 
-    /// The server that owns a key, the same at all sidecars of a zone. The owner of a hot key would drown, and such a
-    /// key is cached everywhere. One that this sidecar met lately is hot.
+    /// Returns the server that owns an affinity key, which is the same at all sidecars of a zone; `None` without a
+    /// key or for a hot key. A hot key would overload its owner, and is cached by all servers anyway. A key is hot if
+    /// it is among this sidecar's recent keys.
     pub(super) fn ring_owner(&self, key: u64) -> Option<Slot> {
         if key == 0 || self.ring.is_empty() || self.recent_keys.contains(&key) {
             return None;
@@ -298,6 +320,7 @@
         Some(self.ring[index % self.ring.len()].1)
     }
 
+    /// Rebuilds the subset when the request rate has doubled, or else the weights when they are outdated by slow start.
     pub(super) fn refresh_weights(&mut self) {
         if self.request_rate > 2.0 * self.subset_rate.max(1.0) {
             self.rebuild_subset();
@@ -306,18 +329,20 @@
         }
     }
 
+    /// Recomputes the selection weights, the recent capacity and the baseline fault rate.
     fn rebuild_weights(&mut self) {
         self.weights_built_at = self.now;
         self.update_recent_capacity();
-        self.ready.sums = self.running_sums(&self.ready.slots);
-        self.subset.sums = self.running_sums(&self.subset.slots);
+        self.ready.sums = self.cumulative_weights(&self.ready.slots);
+        self.subset.sums = self.cumulative_weights(&self.subset.slots);
         let fault_rates = self.subset.slots.iter().map(|&slot| self.servers[slot].fault_rate);
-        let mut fault_rates: SmallVec<[f64; FLEET_SAMPLE]> = fault_rates.collect();
+        let mut fault_rates: SmallVec<[f64; FLEET_SAMPLE_SIZE]> = fault_rates.collect();
         fault_rates.sort_unstable_by(f64::total_cmp);
         self.baseline_fault_rate = fault_rates.get(fault_rates.len() / 3).copied().unwrap_or(0.0);
     }
 
-    fn running_sums(&self, slots: &[Slot]) -> Vec<f64> {
+    /// Returns the cumulative sums of the selection weights of servers.
+    fn cumulative_weights(&self, slots: &[Slot]) -> Vec<f64> {
         let mut sum = 0.0;
         let add = |&slot: &Slot| {
             let server = &self.servers[slot];
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -1,8 +1,8 @@
-//! What the balancer remembers of servers, requests and classes.
+//! State of the balancer: servers, requests, classes and timers.
 
 use super::*;
 
-/// The position of a server in `Balancer::servers`.
+/// Index of a server in `Balancer::servers`.
 pub(super) type Slot = usize;
 
 #[derive(Debug, Default)]
@@ -12,27 +12,34 @@
     pub(super) cell: u16,
     pub(super) health: Health,
     pub(super) weight: f64,
-    /// Its start as discovery tells it, on another clock: it only tells one process from the next.
+    /// Start time of the server's process according to discovery. It is on another clock and serves only to detect
+    /// restarts.
     pub(super) started_at: Micros,
-    /// Since when it warms up, on the balancer's clock; None if it started long ago.
+    /// Estimated start of the warm-up on the balancer's clock; `None` if the server started long ago.
     pub(super) warming_since: Option<Micros>,
     pub(super) chips: u32,
+    /// Attempts in flight from this sidecar.
     pub(super) in_flight: u32,
-    /// The paper's RcvTime: the last response, or the last attempt without a chip; None before the first response.
+    /// Time of the last response, or of a later attempt without a chip (the paper's RcvTime); `None` before the first
+    /// response.
     pub(super) last_response: Option<Micros>,
-    pub(super) last_answered_send: Micros,
-    /// When the first attempt since the last response was sent.
+    /// Send time of the latest sent attempt that got a response.
+    pub(super) last_answered_sent_at: Micros,
+    /// Since when attempts have been in flight without any response; `None` if nothing is in flight.
     pub(super) silent_since: Option<Micros>,
     pub(super) consecutive_failures: u32,
     pub(super) ejected_until: Micros,
+    /// Load of the last report, in requests.
     pub(super) load: f64,
     pub(super) load_reported_at: Micros,
-    /// Moving average of answer times here, each over the mean of its class.
+    /// Moving average of the latencies at this server, each divided by the mean of its class.
     pub(super) relative_latency: f64,
+    /// Moving average of the share of attempts that ended with a fault.
     pub(super) fault_rate: f64,
-    /// Of a server in a remote zone: the load that answers show, and its weight once there were any.
+    /// Moving average of the load estimated from responses, for a server in a remote zone.
     pub(super) remote_load: f64,
     pub(super) spillover_updated_at: Micros,
+    /// Locality weight of a server in a remote zone; `None` before its first response.
     pub(super) spillover_weight: Option<f64>,
     pub(super) capacity: chips::CapacityEstimate,
 }
@@ -50,7 +57,7 @@
     }
 }
 
-/// Servers with the running sums of their draw weights.
+/// Servers with the cumulative sums of their selection weights.
 #[derive(Debug, Default)]
 pub(super) struct WeightedSlots {
     pub(super) slots: Vec<Slot>,
@@ -58,7 +65,7 @@
 }
 
 impl WeightedSlots {
-    /// The server at a position from 0 up to 1 of the sum of weights.
+    /// Returns the server at a position, in the range [0, 1), of the cumulative weight.
     pub(super) fn at(&self, position: f64) -> Slot {
         let target = position * self.sums.last().copied().unwrap_or(0.0);
         let index = self.sums.partition_point(|&sum| sum <= target);
@@ -87,29 +94,33 @@
 pub(super) struct Request {
     pub(super) class: usize,
     pub(super) affinity_key: u64,
-    /// The announced work, beside the usual announcement of its class.
+    /// Factor of the expected latency, from the work hint relative to the mean hint of its class; 1 without a hint.
     pub(super) relative_work: f64,
     pub(super) over_quota: bool,
     pub(super) deadline: Micros,
+    /// The request has its final answer, or its client has disconnected.
     pub(super) ended: bool,
-    /// A stream has begun: there is no deadline any more, and nothing else may be sent.
+    /// A streamed response has begun: the deadline no longer applies, and no further attempt may be made.
     pub(super) streaming: bool,
     pub(super) attempts: SmallVec<[Attempt; 2]>,
 }
 
 impl Request {
+    /// Returns the number of attempts in flight.
     pub(super) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.state == AttemptState::InFlight).count()
     }
 
+    /// Returns whether all attempts have ended with proof that they never ran.
     pub(super) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|a| a.state == AttemptState::NeverRan)
     }
 }
 
-/// What is learned of a class, in microseconds; the base latency is a low quantile: what it is when nothing waits.
+/// Learned statistics of a class, in microseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassStatistics {
+    /// A low quantile of the latency, which approximates the latency without queueing.
     pub(super) base_latency: f64,
     pub(super) mean_latency: f64,
     pub(super) has_samples: bool,
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -1,13 +1,14 @@
-//! Load shedding and rejections.
+//! Tests of load shedding and rejections.
 
 use lb_sidecar::api::*;
 
 use crate::common::*;
 
-/// How much is shed in an overload of what is within a quota and of what is beyond it, if this earns `worth`.
-fn shed_by_quota(worth: f64) -> [u32; 2] {
+/// Returns the numbers of requests within and over a quota that are shed in an overload, for an over-quota weight.
+fn shed_by_quota(over_quota_weight: f64) -> [u32; 2] {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|s| s["overShareWorth"] = worth.into()), 2, &servers);
+    let mut b =
+        Bench::new(settings(|s| s["overShareWorth"] = over_quota_weight.into()), 2, &servers);
     let mut shed = [0, 0];
     for i in 0..300 {
         b.over_quota = i % 2 == 0;
@@ -23,21 +24,24 @@
     shed
 }
 
-/// What is beyond a quota earns a tenth, say: it is shed like the class that earns least, though there are chips.
+/// Requests over a quota with a low weight are shed like the class of the lowest priority, even while servers hold
+/// chips.
 #[test]
 fn overload_sheds_over_quota_requests_first() {
     let shed = shed_by_quota(0.1);
     assert!(shed[1] > 20 && shed[0] * 5 < shed[1], "{shed:?}");
 }
 
-/// Another customer's share beyond a quota earns as much as any: a tenth was one customer's figure.
+/// The weight of requests over a quota comes from the settings and differs between customers: with a weight of 1 they
+/// are not shed first.
 #[test]
 fn over_quota_shedding_follows_the_configured_weight() {
     let shed = shed_by_quota(1.0);
     assert!(shed[1] < 20 + 2 * shed[0], "{shed:?}");
 }
 
-/// Found in overload: a single late answer at a quiet sidecar shed what the fleet could serve.
+/// Guards against load shedding because of a single late response at a sidecar with little traffic, while the fleet has
+/// capacity.
 #[test]
 fn single_late_answer_does_not_shed_the_highest_priority_class() {
     let mut b = Bench::new(settings(|_| {}), 2, &[server(0), server(2), server(4)]);
@@ -54,12 +58,12 @@
     }
 }
 
-/// Load shedding: when all servers are late, what earns least for its work is refused first.
+/// When all servers are late, the class of the lowest priority is shed first.
 #[test]
 fn overload_sheds_the_lowest_priority_class_first() {
     let servers: Vec<_> = (0..4).map(server).collect();
     let mut b = Bench::new(settings(|_| {}), 2, &servers);
-    let (mut cheap, mut dear) = (0, 0);
+    let (mut low_priority, mut high_priority) = (0, 0);
     for i in 0..300 {
         let class = if i % 2 == 0 { 0 } else { 2 };
         let (id, out) = b.request(class);
@@ -69,16 +73,16 @@
                 b.now += 20 * MS;
                 b.answer_after(latency, id, to, 3.0);
             }
-            None if class == 0 => cheap += 1,
-            None => dear += 1,
+            None if class == 0 => low_priority += 1,
+            None => high_priority += 1,
         }
     }
-    assert!(cheap > 50, "{cheap} cheap requests shed");
-    assert!(dear * 5 < cheap, "{dear} dear ones, {cheap} cheap ones");
+    assert!(low_priority > 50, "{low_priority} requests of low priority shed");
+    assert!(high_priority * 5 < low_priority, "shed: {high_priority} high, {low_priority} low");
 }
 
-/// Found where queues are short: each refusal as full counted as a late answer, and half of the
-/// requests were refused at the door while other servers had room.
+/// Servers with short queues reject some attempts even in normal operation. Guards against counting each such
+/// rejection as a late response, which would shed requests while other servers have capacity.
 #[test]
 fn rejections_that_succeed_elsewhere_do_not_shed() {
     let servers: Vec<_> = (0..8).map(server).collect();
@@ -88,13 +92,13 @@
         let first = sent(&out).expect("not shed");
         b.now += MS;
         let out = b.answer(id, 0, first, Outcome::Rejected, 0.0);
-        let second = sent(&out).expect("tried elsewhere");
+        let second = sent(&out).expect("retried at another server");
         b.now += 20 * MS;
         b.answer(id, 1, second, Outcome::Success, 0.0);
     }
 }
 
-/// Found with rough hints of work: heavy requests made the fleet look full.
+/// Guards against load shedding because of expensive requests whose work hints announce the long latency.
 #[test]
 fn announced_work_does_not_count_as_overload() {
     let servers: Vec<_> = (0..8).map(server).collect();
@@ -114,11 +118,11 @@
         shed
     };
     let (without, with) = (shed(false), shed(true));
-    assert!(without > 20 && with * 2 < without, "shed {without} unannounced, {with} announced");
+    assert!(without > 20 && with * 2 < without, "shed: {without} without hints, {with} with hints");
 }
 
-/// Found where there is one class only: half of its requests were refused for the sake of none,
-/// while answers took three fifths of their aim.
+/// Shedding a class early only helps if another class has a higher priority. Guards against shedding half of the
+/// requests of a single class while responses take three fifths of the latency objective.
 #[test]
 fn classes_of_equal_priority_are_not_shed_early() {
     let servers: Vec<_> = (0..8).map(server).collect();
@@ -137,43 +141,43 @@
         }
         shed
     };
-    assert!(shed(0) > 100, "class 0 earns an eighth of the best: {}", shed(0));
-    assert_eq!(shed(2), 0, "none earns more than class 2");
+    assert!(shed(0) > 100, "class 0 has an eighth of the highest priority: {} shed", shed(0));
+    assert_eq!(shed(2), 0, "no class has a higher priority than class 2");
 }
 
 #[test]
 fn rejection_carries_a_jittered_retry_after() {
-    let json = |most: u64, told: bool| {
+    let with_limits = |max_retry_after: u64, is_allowed: bool| {
         settings(move |s| {
-            s["limits"]["maxRetryAfter"] = most.into();
-            s["limits"]["retryAfter"] = told.into();
+            s["limits"]["maxRetryAfter"] = max_retry_after.into();
+            s["limits"]["retryAfter"] = is_allowed.into();
         })
     };
-    // Where clients are told nothing, what they would follow does not matter.
-    for (longest, allowed) in
+    // Without the permission to send Retry-After, its maximum has no effect.
+    for (max_retry_after, is_allowed) in
         [(0, true), (10 * MS, true), (2 * S, true), (10 * MS, false), (2 * S, false)]
     {
-        let most = if allowed { longest } else { 0 };
-        let mut b = Bench::new(json(longest, allowed), 1, &[]);
-        let mut told = Vec::new();
+        let max = if is_allowed { max_retry_after } else { 0 };
+        let mut b = Bench::new(with_limits(max_retry_after, is_allowed), 1, &[]);
+        let mut values = Vec::new();
         for _ in 0..20 {
             let (_, out) = b.request(0);
             let Some(Action::Reject { retry_after, reason, .. }) = out.last() else {
-                panic!("nothing to send to: {out:?}");
+                panic!("not rejected without servers: {out:?}");
             };
             assert_eq!(*reason, EndReason::NoServer);
-            told.push(*retry_after);
+            values.push(*retry_after);
         }
-        assert!(told.iter().all(|&t| t <= most && (t > 0) == (most > 0)), "{told:?}");
-        // Not all at the same time, where there is room.
-        assert!(most < S || told.iter().any(|t| t != &told[0]), "{told:?}");
+        assert!(values.iter().all(|&t| t <= max && (t > 0) == (max > 0)), "{values:?}");
+        // The values vary unless the maximum cuts them all.
+        assert!(max < S || values.iter().any(|t| t != &values[0]), "{values:?}");
     }
 }
 
 #[test]
 fn late_request_is_not_cancelled_without_a_final_answer() {
     let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
-    // Every answer fails to come by its aim.
+    // No response arrives within its latency objective.
     let open: Vec<_> = (0..12).map(|_| b.request(0)).filter(|r| sent(&r.1).is_some()).collect();
     assert!(!open.is_empty());
     b.now += 200 * MS;
@@ -182,8 +186,8 @@
             let Action::SetTimer { token, delay } = *action else { continue };
             if delay <= 200 * MS {
                 let late = b.event(Event::Timer { token });
-                let called_off = late.iter().any(|a| matches!(a, Action::Cancel { .. }));
-                assert!(!called_off || rejected(&late) || failed(&late), "{id:?}: {late:?}");
+                let is_cancelled = late.iter().any(|a| matches!(a, Action::Cancel { .. }));
+                assert!(!is_cancelled || rejected(&late) || failed(&late), "{id:?}: {late:?}");
             }
         }
     }
@@ -202,7 +206,7 @@
             _ => None,
         }));
         match sent(&out) {
-            // One in five is never answered; the others are, at once.
+            // One of five attempts gets no response, the others get theirs after 5 ms.
             Some(to) if n % 5 > 0 => {
                 b.now += 5 * MS;
                 b.answer(id, 0, to, Outcome::Success, 0.0);
@@ -227,12 +231,13 @@
     assert_eq!(shed, 0);
 }
 
-/// Found on a day on which most servers are replaced: half of all attempts ended with their requests' time.
+/// Guards against wasting attempts on requests that end at their deadline before the response, as happens when most
+/// servers are being replaced.
 #[test]
 fn request_without_enough_time_left_is_mostly_rejected_at_once() {
     let servers: Vec<_> = (0..4).map(server).collect();
     let mut b = Bench::new(settings(|_| {}), 5, &servers);
-    let mut with = |left: Micros, n: u64| {
+    let mut sends_with_time_left = |time_left: Micros, n: u64| {
         let mut sends = 0;
         for id in n * 1000..n * 1000 + 200 {
             let id = RequestId(id);
@@ -241,7 +246,7 @@
                 class: 0,
                 tenant: 0,
                 affinity_key: 0,
-                time_left: left,
+                time_left,
                 work_hint: None,
                 client_retry: false,
                 over_quota: false,
@@ -257,13 +262,13 @@
         }
         sends
     };
-    assert_eq!(with(S, 1), 200, "there is time");
-    let few = with(10 * MS, 4);
+    assert_eq!(sends_with_time_left(S, 1), 200, "there is enough time");
+    let few = sends_with_time_left(10 * MS, 4);
     assert!((2..=25).contains(&few), "{few}");
-    assert_eq!(with(19 * MS, 5), 200, "by chance it may come in time");
+    assert_eq!(sends_with_time_left(19 * MS, 5), 200, "the response may be in time by chance");
 }
 
-/// Once a second of an answer is usual, a request that waits for a millisecond is not worth sending.
+/// Once the mean latency is known, a request with less time left is rejected with the reason `TooLittleTime`.
 #[test]
 fn request_with_too_little_time_is_rejected_for_that_reason() {
     let mut b = Bench::new(settings(|_| {}), 1, &[server(0)]);
--- a/tests/balancer/ejection.rs
+++ b/tests/balancer/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection and the panic threshold.
+//! Tests of outlier ejection and the panic threshold.
 
 use lb_sidecar::api::*;
 
@@ -24,11 +24,11 @@
             b.answer(id, 0, hung, Outcome::TimedOut, 0.0);
         }
     }
-    assert!(lost <= 6, "{lost} of 400 went to a hung server");
+    assert!(lost <= 6, "{lost} of 400 requests went to the hung server");
 }
 
-/// Found on a quiet stretch: an attempt called off left its server marked silent for ever, and
-/// sidecar after sidecar ran out of servers.
+/// Guards against a server that stays marked as silent after the cancellation of its only attempt. With little traffic,
+/// sidecars would run out of servers one after the other.
 #[test]
 fn cancelled_attempt_does_not_mark_server_silent() {
     let mut b = Bench::new(settings(|_| {}), 1, &[server(0)]);
@@ -53,7 +53,7 @@
         b.now += 20 * MS;
         b.answer(id, 0, failing, outcome, 0.0);
         let again = (0..20).filter(|_| b.round(0, 0.0) == Some(failing)).count();
-        assert!(again > 0, "{outcome:?}: out at once");
+        assert!(again > 0, "{outcome:?}: ejected after one failure");
     }
 }
 
@@ -61,17 +61,17 @@
 fn consecutive_failures_eject_a_server_until_a_trial() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
     let mut b = Bench::new(settings(|_| {}), 1, &servers);
-    let sick = ServerId(0);
-    let mut to_sick = 0;
+    let failing = ServerId(0);
+    let mut sends = 0;
     for _ in 0..200 {
         let (id, out) = b.request(2);
-        let to = sent(&out).expect("the other one is sound");
-        to_sick += usize::from(to == sick);
+        let to = sent(&out).expect("the others are available");
+        sends += usize::from(to == failing);
         b.now += 5 * MS;
-        let outcome = if to == sick { Outcome::ConnectionReset } else { Outcome::Success };
+        let outcome = if to == failing { Outcome::ConnectionReset } else { Outcome::Success };
         b.answer(id, 0, to, outcome, 0.0);
     }
-    assert!((3..10).contains(&to_sick), "{to_sick} of 200 went to it");
+    assert!((3..10).contains(&sends), "{sends} of 200 requests went to the failing server");
 }
 
 #[test]
@@ -82,17 +82,18 @@
         let (id, out) = b.request(2);
         let to = sent(&out).unwrap_or_else(|| panic!("request {n} found no server"));
         b.now += 5 * MS;
-        // Three of four fail, whatever the server.
+        // Three of four attempts fail, at any server.
         let outcome = if n % 4 == 0 { Outcome::Success } else { Outcome::ConnectionReset };
         b.answer(id, 0, to, outcome, 0.0);
     }
 }
 
-/// How long a server is out at most after its first ejection, in longest deadlines (half of one, give or take a
-/// quarter), with some requests until one meets it.
-const FIRST_PAUSE: Micros = 2 * S;
+/// Upper limit of the time until a server is used again after its first ejection. The ejection time is a quarter or a
+/// half of the longest deadline of 1.5 s, varied by a quarter; the rest is for the requests until one selects the
+/// server.
+const MAX_FIRST_EJECTION_TIME: Micros = 2 * S;
 
-/// Sends requests every 5 ms, which all succeed, until one goes to `server`; how long that took.
+/// Sends requests that all succeed, with pauses of 5 ms, until one goes to `server`. Returns the elapsed time.
 fn time_until_used(b: &mut Bench, server: ServerId) -> Micros {
     let from = b.now;
     while b.round(0, 0.0) != Some(server) {
@@ -117,12 +118,12 @@
         b.answer(id, 0, to, outcome, 0.0);
     }
     assert!(failures >= 20, "{failures} were in flight to the server");
-    let out_for = time_until_used(&mut b, crashed);
-    assert!(out_for < FIRST_PAUSE, "it is used again after {} ms", out_for / MS);
+    let elapsed = time_until_used(&mut b, crashed);
+    assert!(elapsed < MAX_FIRST_EJECTION_TIME, "it is used again after {} ms", elapsed / MS);
 }
 
-/// Found by simulation (seed 8033072): while the others were down, what one server failed in half a second kept it out
-/// for eight more.
+/// Guards against counting failures while ejection is ignored as failed trials: the failures of half a second kept a
+/// server ejected for another 8 s (simulation seed 8033072).
 #[test]
 fn failures_while_ejection_is_ignored_are_no_failed_trials() {
     let servers: Vec<_> = (0..3).map(|n| server(2 * n)).collect();
@@ -134,12 +135,16 @@
         b.answer(id, 0, to, Outcome::ConnectionReset, 0.0);
     }
     for recovered in servers.iter().map(|entry| entry.id) {
-        let out_for = time_until_used(&mut b, recovered);
-        assert!(out_for < FIRST_PAUSE, "{recovered:?} is used again after {} ms", out_for / MS);
+        let elapsed = time_until_used(&mut b, recovered);
+        assert!(
+            elapsed < MAX_FIRST_EJECTION_TIME,
+            "{recovered:?} is used again after {} ms",
+            elapsed / MS
+        );
     }
 }
 
-/// However long it has failed: the pause between two trials is bounded.
+/// The ejection time has an upper limit, however many trials have failed.
 #[test]
 fn server_that_failed_for_long_is_tried_within_eight_longest_deadlines_of_its_recovery() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
@@ -152,8 +157,8 @@
         let outcome = if to == failing { Outcome::ConnectionReset } else { Outcome::Success };
         b.answer(id, 0, to, outcome, 0.0);
     }
-    // The longest deadline is 1.5 s, and a pause is up to a quarter longer by chance.
+    // The longest deadline is 1.5 s, and the ejection time varies by up to a quarter.
     let bound = 8 * 1500 * MS * 5 / 4;
-    let out_for = time_until_used(&mut b, failing);
-    assert!(out_for < bound, "it is used again after {} ms", out_for / MS);
+    let elapsed = time_until_used(&mut b, failing);
+    assert!(elapsed < bound, "it is used again after {} ms", elapsed / MS);
 }
--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -1,4 +1,4 @@
-//! The balancer, driven through `handle`: its mechanisms and each failure that was found.
+//! Tests of the balancer through `Balancer::handle`: its mechanisms, and regressions.
 
 mod admission;
 mod chips;
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, idempotency and final answers.
+//! Tests of retries, idempotency and final answers.
 
 use lb_sidecar::api::*;
 
@@ -11,7 +11,7 @@
         let (id, out) = b.request(class);
         let first = sent(&out).expect("sent");
         let again = b.answer(id, 0, first, Outcome::Rejected, 0.0);
-        let second = sent(&again).expect("sent again, it never ran");
+        let second = sent(&again).expect("a rejected attempt never ran and is retried");
         assert_ne!(first, second);
         b.answer(id, 1, second, Outcome::Success, 0.0);
         b.now += 3 * S;
@@ -39,7 +39,7 @@
         let out = b.answer(id, 0, first, Outcome::ConnectionReset, 0.0);
         match sent(&out) {
             Some(second) => assert_eq!(first.0 % 2, second.0 % 2, "another zone"),
-            None => assert!(failed(&out), "its group is not all: no refusal"),
+            None => assert!(failed(&out), "not all servers deduplicate: no rejection"),
         }
     }
 }
@@ -55,7 +55,8 @@
     assert!(sent(&out).is_none() && failed(&out));
 }
 
-/// Sent within the window, a repeat may come to its server after it: the process may be held up before it writes.
+/// A retry sent just before the end of the window may reach its server after it, as the process may be held up before
+/// the write.
 #[test]
 fn idempotency_key_request_is_not_retried_shortly_before_the_end_of_its_dedup_window() {
     let servers: Vec<_> = (0..8).map(server).collect();
@@ -65,13 +66,13 @@
         let first = sent(&out).expect("sent");
         b.now += after;
         let out = b.answer(id, 0, first, Outcome::ConnectionReset, 0.0);
-        assert_eq!(sent(&out).is_some(), is_retried, "{} ms after it", after / MS);
+        assert_eq!(sent(&out).is_some(), is_retried, "{} ms after the first attempt", after / MS);
         assert!(is_retried || failed(&out));
     }
 }
 
-/// Found by the bench's drill: an attempt was called off at its aim in the instant in which its
-/// stream began. A stream has no deadline, so the request never got its final answer.
+/// Guards against a request without a final answer: its attempt is cancelled just as the stream begins, and a stream
+/// has no deadline that would end the request.
 #[test]
 fn cancelled_stream_still_gets_a_final_answer() {
     let mut b =
@@ -90,38 +91,39 @@
     let mut b = Bench::new(settings(|_| {}), 1, &servers);
     for _ in 0..8 {
         let (id, out) = b.request(2);
-        let dead = sent(&out).expect("sent");
-        let out = b.answer(id, 0, dead, Outcome::ConnectFailed, 0.0);
-        let second = sent(&out).expect("it never ran, and others are there");
+        let unreachable = sent(&out).expect("sent");
+        let out = b.answer(id, 0, unreachable, Outcome::ConnectFailed, 0.0);
+        let second = sent(&out).expect("the attempt never ran, and other servers are available");
         b.answer(id, 1, second, Outcome::Success, 0.0);
     }
 }
 
-/// Repeats after failures are this sidecar's part of a budget that others may need more, or less.
+/// Retries after failures are limited by this sidecar's part of the tier's retry budget, which changes with the needs
+/// of the other sidecars.
 #[test]
 fn failures_are_retried_within_the_share_of_the_retry_budget() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let repeated = |part: Option<(f64, f64)>| {
+    let count_retries = |part: Option<(f64, f64)>| {
         let mut b = Bench::new(settings(|_| {}), 3, &servers);
-        if let Some((share, saved)) = part {
-            b.balancer.set_retry_budget(share, saved);
+        if let Some((per_request, max_saved)) = part {
+            b.balancer.set_retry_budget(per_request, max_saved);
         }
-        let mut repeated = 0;
+        let mut retries = 0;
         for _ in 0..200 {
             let (id, out) = b.request(0);
             let first = sent(&out).expect("a server");
             b.now += 20 * MS;
             let out = b.answer(id, 0, first, Outcome::ConnectionReset, 0.0);
             if let Some(second) = sent(&out) {
-                repeated += 1;
+                retries += 1;
                 b.answer(id, 1, second, Outcome::Success, 0.0);
             }
         }
-        repeated
+        retries
     };
-    let usual = repeated(None);
-    assert!((18..=21).contains(&usual), "{usual}");
-    let more = repeated(Some((0.5, 5.0)));
+    let by_default = count_retries(None);
+    assert!((18..=21).contains(&by_default), "{by_default}");
+    let more = count_retries(Some((0.5, 5.0)));
     assert!((95..=101).contains(&more), "{more}");
-    assert_eq!(repeated(Some((0.0, 1.0))), 1, "one failure among many is repeated all the same");
+    assert_eq!(count_retries(Some((0.0, 1.0))), 1, "the saved retry can still be used");
 }
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -1,20 +1,20 @@
-//! Servers that are warming up.
+//! Tests of slow start.
 
 use lb_sidecar::api::*;
 use lb_sidecar::settings::Settings;
 
 use crate::common::*;
 
-/// The settings of one of many sidecars.
-fn settings_of_one(me: u64, instances: u32) -> Settings {
+/// Returns the settings of one of many sidecars.
+fn settings_of_instance(instance: u64, instances: u32) -> Settings {
     settings(|s| {
         s["instances"] = instances.into();
-        s["me"] = me.into();
+        s["me"] = instance.into();
     })
 }
 
-/// Slow start: many sidecars counted together, each assuming the others do likewise. A cold
-/// server's share of sends must stay under the multiple of its present capacity's share.
+/// The share of the requests of all sidecars that a server in slow start gets must stay below the multiple of its
+/// current share of the capacity at which it fails.
 #[test]
 fn all_sidecars_together_do_not_overload_a_warming_up_server() {
     let n = 10;
@@ -23,7 +23,7 @@
     let (mut to_cold, mut all) = (0, 0);
     for seed in 0..300 {
         let servers: Vec<_> = (0..n).map(server).collect();
-        let mut b = Bench::new(settings_of_one(seed, 300), seed, &servers);
+        let mut b = Bench::new(settings_of_instance(seed, 300), seed, &servers);
         for _ in 0..10 {
             b.round(0, 1.0);
         }
@@ -35,14 +35,17 @@
         }
     }
     let share = f64::from(to_cold) / f64::from(all);
-    // Present capacity is 0.2 to 0.25 of a server's; ten others are warm; the multiple is 3.
-    let due = 0.25 / 10.25;
-    assert!(share < 2.5 * due, "share {share}, due {due}");
-    assert!(share > 0.2 * due, "it must warm up: {share}");
+    // The server has 0.2 to 0.25 of its full capacity, ten others are warm, and it fails at a multiple of 3.
+    let fair_share = 0.25 / 10.25;
+    assert!(share < 2.5 * fair_share, "share {share}, fair share {fair_share}");
+    assert!(
+        share > 0.2 * fair_share,
+        "share {share} is too low to warm up, fair share {fair_share}"
+    );
 }
 
-/// Found with short queues and a release: what full servers refused was tried again on the cold
-/// ones, which fell over.
+/// Guards against overloading servers in slow start with the retries of requests that full servers reject, as during a
+/// release with short queues.
 #[test]
 fn warming_up_server_gets_no_retries() {
     for seed in 0..50 {
@@ -51,24 +54,27 @@
         let (id, mut out) = b.request(0);
         for attempt in 0.. {
             let Some(to) = sent(&out) else { break };
-            assert!(attempt == 0 || to != cold.id, "attempt {attempt} went to the cold server");
+            assert!(
+                attempt == 0 || to != cold.id,
+                "attempt {attempt} went to the server in slow start"
+            );
             b.now += MS;
             out = b.answer(id, attempt, to, Outcome::Rejected, 0.0);
         }
     }
 }
 
-/// Found by simulation: with home out and all others cold, a sidecar refused everything. What it sends
-/// there instead is no more than the sum of many like it may bring to cold servers.
+/// Guards against rejecting all requests when the local zone does not respond and all other servers are in slow start.
+/// These get no more than they can take if all sidecars do the same.
 #[test]
-fn warming_up_servers_replace_the_local_zone_within_their_due() {
+fn warming_up_servers_replace_the_local_zone_within_their_fair_share() {
     let cold = |n| ServerEntry { started_at: START - S, ..server(n) };
     let served = |listed: &[ServerEntry]| {
         let mut served = 0;
         for seed in 0..20 {
             let priced = settings(|s| s["prices"]["crossZone"] = 5.0.into());
             let mut b = Bench::new(priced, seed, listed);
-            // Home answers nothing, and is silent for longer than any aim.
+            // The local zone does not respond for longer than any latency objective.
             for _ in 0..400 {
                 b.now += MS;
                 let (id, out) = b.request(2);
@@ -88,15 +94,18 @@
         served
     };
     let few = served(&[cold(0), cold(1), cold(3)]);
-    assert!(few >= 950, "{few} of 1000, though two of three are left");
+    assert!(few >= 950, "only {few} of 1000 requests served, though two of three servers are left");
     let mut fleet: Vec<_> = (0..20).map(|n| server(2 * n)).collect();
     fleet.push(cold(1));
     let many = served(&fleet);
-    assert!(many < 100, "{many} of 1000 to one cold server in place of twenty");
+    assert!(
+        many < 100,
+        "{many} of 1000 requests went to one server in slow start in place of twenty"
+    );
 }
 
-/// The share of sends that a server gets which joins while `clock_error` is how far the sidecar's wall
-/// clock is ahead of discovery's, in microseconds: in the first second, and once it has warmed up.
+/// Returns the share of requests that a joining server gets in the first second, and once it has warmed up.
+/// `clock_error` is the time by which the sidecar's wall clock is ahead of discovery's, in microseconds.
 fn shares_of_joining_server(clock_error: i64) -> (f64, f64) {
     let n = 10;
     let joined_at = 10_000 * S;
@@ -123,24 +132,26 @@
     (f64::from(early) / all, f64::from(late) / all)
 }
 
-/// A wall clock may be wrong when the process starts: then a server that joins must be warmed up all the
-/// same, and no longer than that.
+/// Slow start must work, and last no longer than its window, even if the wall clock is wrong when the process starts.
 #[test]
 fn joining_server_warms_up_whatever_the_wall_clock_says() {
     let hour = 3_600 * S as i64;
     for clock_error in [0, 5 * S as i64, -5 * S as i64, hour, -hour] {
         let (early, late) = shares_of_joining_server(clock_error);
-        // Present capacity is 0.2 to 0.25 of a server's; ten others are warm; the multiple is 3.
-        let due = 0.25 / 10.25;
-        assert!(early < 2.5 * due, "clock {clock_error} us ahead: share {early}, due {due}");
-        assert!(late > 0.7 / 11.0, "clock {clock_error} us ahead: {late} when warm");
+        // The server has 0.2 to 0.25 of its full capacity, ten others are warm, and it fails at a multiple of 3.
+        let fair_share = 0.25 / 10.25;
+        assert!(
+            early < 2.5 * fair_share,
+            "clock {clock_error} us ahead: share {early}, fair share {fair_share}"
+        );
+        assert!(late > 0.7 / 11.0, "clock {clock_error} us ahead: share {late} when warm");
     }
 }
 
-/// A server whose machine's clock was set back restarts with an earlier start than before.
+/// After its machine's clock was set back, a server restarts with an earlier start time than before.
 #[test]
 fn restart_with_a_clock_set_back_is_a_restart() {
-    let mut early = 0;
+    let mut sends = 0;
     for seed in 0..200 {
         let old = ServerEntry { started_at: START - 100 * S, ..server(0) };
         let servers = [old.clone(), server(1), server(2)];
@@ -148,24 +159,24 @@
         b.servers(ListKind::Complete, &servers);
         b.rounds(20);
         b.servers(ListKind::Delta, &[ServerEntry { started_at: START - 3_600 * S / 4, ..old }]);
-        early += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(0))).count();
+        sends += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(0))).count();
     }
-    let share = early as f64 / 2000.0;
-    let due = 0.25 / 2.25;
-    assert!(share < 2.5 * due, "share {share}, due {due}");
+    let share = sends as f64 / 2000.0;
+    let fair_share = 0.25 / 2.25;
+    assert!(share < 2.5 * fair_share, "share {share}, fair share {fair_share}");
 }
 
-/// Found by simulation (seed 8020479): with home ejected, the one warm server left got nearly everything and
-/// drowned, while one that had nearly warmed up stood idle.
+/// Guards against overloading the only warm server left when the local zone is ejected, while a server that has nearly
+/// warmed up is idle (simulation seed 8020479).
 #[test]
-fn server_that_has_nearly_warmed_up_gets_its_due_beside_the_only_warm_one() {
+fn server_that_has_nearly_warmed_up_gets_its_fair_share_beside_the_only_warm_one() {
     let nearly_warm = ServerEntry { started_at: START - 15 * S, ..server(3) };
     let listed = [server(0), server(1), nearly_warm.clone()];
     let (mut to_nearly_warm, mut all) = (0, 0);
     for seed in 0..20 {
         let priced = settings(|s| s["prices"]["crossZone"] = 5.0.into());
         let mut b = Bench::new(priced, seed, &listed);
-        // Home is silent for longer than any objective.
+        // The local zone does not respond for longer than any latency objective.
         for _ in 0..400 {
             b.now += MS;
             let (id, out) = b.request(2);
@@ -183,14 +194,15 @@
         }
     }
     let share = f64::from(to_nearly_warm) / f64::from(all);
-    // It has 0.2 to 0.8 of a server's capacity: its start is a lower bound, and the list names no later one.
-    assert!((0.05..0.4).contains(&share), "share {share} of {all}");
+    // Its capacity counts as 0.2 to 0.8 of a server's: its age is a lower bound, and no server in the list started
+    // later.
+    assert!((0.05..0.4).contains(&share), "share {share} of {all} requests");
 }
 
-/// Lists are not trusted: a start in the far future is no reason to fail, nor to take other servers for warm.
+/// Lists are not trusted: a start time in the far future must not cause a panic, nor make other servers count as warm.
 #[test]
 fn absurd_start_times_do_no_harm() {
-    let mut share = 0;
+    let mut sends = 0;
     for seed in 0..100 {
         let absurd = ServerEntry { started_at: u64::MAX, ..server(0) };
         let servers = [absurd, server(1), server(2)];
@@ -199,27 +211,27 @@
         b.rounds(20);
         b.now += S;
         b.servers(ListKind::Delta, &[ServerEntry { started_at: b.now, ..server(3) }]);
-        share += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(3))).count();
+        sends += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(3))).count();
     }
-    let (share, due) = (share as f64 / 1000.0, 0.25 / 2.5);
-    assert!(share < 2.5 * due, "share {share}, due {due}");
+    let (share, fair_share) = (sends as f64 / 1000.0, 0.25 / 2.5);
+    assert!(share < 2.5 * fair_share, "share {share}, fair share {fair_share}");
 }
 
-/// The share of all requests, those that are rejected among them, that servers which warm up get once `drained` of twenty
-/// warm servers drain at the same time; `joined` servers have just joined.
+/// Returns the share of all requests, including rejected ones, that go to servers in slow start after `drained` of
+/// twenty warm servers drain at the same time and `joined` servers join.
 fn share_of_warming_servers(joined: u64, drained: u64) -> f64 {
     share_after_drain(joined, drained, 20)
 }
 
-/// The same for sidecars that have sent `known` requests before most servers drained.
-fn share_after_drain(joined: u64, drained: u64, known: usize) -> f64 {
+/// The same as `share_of_warming_servers`, for sidecars that have sent `previous` requests before the servers drain.
+fn share_after_drain(joined: u64, drained: u64, previous: usize) -> f64 {
     let fleet = 20;
     let (mut to_warming, mut all) = (0, 0);
     for seed in 0..100 {
         let servers: Vec<_> = (0..fleet).map(server).collect();
-        let mut b = Bench::new(settings_of_one(seed, 100), seed, &servers);
+        let mut b = Bench::new(settings_of_instance(seed, 100), seed, &servers);
         b.servers(ListKind::Complete, &servers);
-        b.rounds(known);
+        b.rounds(previous);
         b.now += S;
         let joining =
             (fleet..fleet + joined).map(|n| ServerEntry { started_at: b.now, ..server(n) });
@@ -234,39 +246,49 @@
     f64::from(to_warming) / f64::from(all)
 }
 
-/// A fleet drained at once, and one server was left that had just started. It got all requests, 0.14 % more work than
-/// brings it down in the simulation, and many times that in a larger fleet: only the weights of the choice bounded what it
-/// got, and they say nothing where no other server is left. In the simulation: `cold broken at 10.554s: 4.933s of work for
-/// server 1, 624ms old: 4.926s at most`.
+/// Guards against sending the whole load to a server that has just started when the other servers drain at once.
+/// Selection weights do not limit its load if no other server is left: in the simulation it got 4.933 s of work and
+/// failed at 4.926 s (0.14 % less), 624 ms after its start. In a larger fleet it would get many times as much.
 #[test]
 fn warming_up_servers_do_not_take_the_place_of_a_fleet_that_drains() {
-    // A server that has just started has 0.2 to 0.25 of its capacity, and falls at three times that.
+    // A server that has just started has 0.2 to 0.25 of its full capacity, and fails at three times that load.
     let capacity_share = |joined: u64| 0.2 * joined as f64 / 20.0;
     for (joined, drained) in [(1, 20), (1, 19), (3, 20), (4, 18)] {
         let share = share_of_warming_servers(joined, drained);
-        let due = capacity_share(joined);
-        assert!(share < 3.0 * due, "{joined} joined, {drained} drained: {share}, due {due}");
-        assert!(share > 0.5 * due, "{joined} joined, {drained} drained: {share}, due {due}");
+        let fair_share = capacity_share(joined);
+        assert!(
+            share < 3.0 * fair_share,
+            "{joined} joined, {drained} drained: share {share}, fair share {fair_share}"
+        );
+        assert!(
+            share > 0.5 * fair_share,
+            "{joined} joined, {drained} drained: share {share}, fair share {fair_share}"
+        );
     }
 }
 
-/// Where as many servers join as drain, the others carry the work, and those that join get what they can take.
+/// If as many servers join as drain, the remaining ones carry the load, and the joining ones get the share that they
+/// can take.
 #[test]
-fn warming_up_servers_get_their_due_beside_the_rest_of_the_fleet() {
+fn warming_up_servers_get_their_fair_share_beside_the_rest_of_the_fleet() {
     let share = share_of_warming_servers(10, 10);
-    let due = 0.2 * 10.0 / 12.0;
-    assert!((0.7 * due..2.5 * due).contains(&share), "{share}, due {due}");
+    let fair_share = 0.2 * 10.0 / 12.0;
+    assert!(
+        (0.7 * fair_share..2.5 * fair_share).contains(&share),
+        "share {share}, fair share {fair_share}"
+    );
 }
 
-/// A sidecar that was started when most servers had drained has never seen what they could take.
+/// A sidecar that has just started when most servers drain has sent no request to them, but must still limit the load
+/// of the others.
 #[test]
-fn warming_up_servers_do_not_take_the_place_of_a_fleet_that_drained_before_the_start() {
+fn warming_up_servers_do_not_take_the_place_of_a_fleet_that_drains_before_the_first_request() {
     let share = share_after_drain(1, 19, 0);
-    let due = 0.2 / 20.0;
-    assert!(share < 3.0 * due, "{share}, due {due}");
+    let fair_share = 0.2 / 20.0;
+    assert!(share < 3.0 * fair_share, "share {share}, fair share {fair_share}");
 }
 
-/// With a right clock, a server that has nearly warmed up is as good after a restart of the sidecar as before.
+/// If the clock is right, a server that has nearly warmed up keeps its share over a restart of the sidecar.
 #[test]
 fn newest_server_keeps_its_age_over_a_restart_of_the_sidecar() {
     let n = 10;
@@ -274,7 +296,7 @@
     let (mut to_newest, mut all) = (0, 0);
     for seed in 0..100 {
         let listed: Vec<_> = (0..n).map(server).chain([newest.clone()]).collect();
-        let mut b = Bench::new(settings_of_one(seed, 100), seed, &listed);
+        let mut b = Bench::new(settings_of_instance(seed, 100), seed, &listed);
         b.servers(ListKind::Complete, &listed);
         for _ in 0..20 {
             all += 1;
@@ -282,6 +304,6 @@
         }
     }
     let share = f64::from(to_newest) / f64::from(all);
-    let due = 0.95 / 10.95;
-    assert!(share > 0.5 * due, "{share}, due {due}");
+    let fair_share = 0.95 / 10.95;
+    assert!(share > 0.5 * fair_share, "share {share}, fair share {fair_share}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,8 @@
-//! Random event sequences against a checker of rules 1 to 3 that does not know how the balancer
-//! works: it keeps its own record of requests, attempts and the endpoint list.
+//! Property test of rules 1 to 3: random event sequences against a checker that is independent of the balancer's
+//! implementation and keeps its own record of requests, attempts and the endpoint list.
+//!
+//! Rule 1: each request gets one final answer in time. Rule 2: no duplicate effects. Rule 3: no attempts to servers
+//! that drain or are removed.
 
 mod common;
 
@@ -10,10 +13,10 @@
 use lb_sidecar::balancer::Balancer;
 use proptest::prelude::*;
 
-/// How long after its deadline a request may get its final answer.
+/// Time after its deadline within which a request may get its final answer.
 const DEADLINE_SLACK: Micros = 8 * MS;
 const SERVER_COUNT: u64 = 6;
-/// How a class of requests may be sent again, in the order of the settings.
+/// The retry safety of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClassKind {
     Idempotent,
@@ -21,9 +24,10 @@
     NotIdempotent,
 }
 
+/// The classes, in the order of the settings.
 const CLASSES: [ClassKind; 3] =
     [ClassKind::Idempotent, ClassKind::WithIdempotencyKey, ClassKind::NotIdempotent];
-/// How long servers recognize repeats of requests with an idempotency key.
+/// Time for which servers recognize duplicates of requests with an idempotency key.
 const IDEMPOTENCY_WINDOW: Micros = 700 * MS;
 
 /// One step of a sequence.
@@ -39,24 +43,24 @@
     HealthChange { server: u64, health: u8, restart: bool },
     /// Discovery reports the complete list.
     CompleteList { mask: u8 },
-    /// A client closes its connection.
+    /// A client disconnects.
     ClientGone { request: usize },
     /// A call to discovery fails.
     DiscoveryFails,
 }
 
-/// An attempt that the balancer asked for.
+/// An attempt sent by the balancer.
 #[derive(Debug)]
 struct Attempt {
     server: ServerId,
     zone: u8,
-    at: Micros,
+    sent_at: Micros,
     in_flight: bool,
     never_ran: bool,
     deadline: Micros,
 }
 
-/// A request, and what became of it.
+/// A request and its history.
 #[derive(Debug)]
 struct RequestRecord {
     class: usize,
@@ -72,14 +76,14 @@
     }
 }
 
-/// Drives a balancer, and checks each of its actions.
+/// Drives a balancer and checks each of its actions.
 struct Checker {
     balancer: Balancer,
     now: Micros,
     requests: BTreeMap<RequestId, RequestRecord>,
     timers: BTreeSet<(Micros, u32)>,
     ready_servers: BTreeSet<ServerId>,
-    may_duplicate: bool,
+    may_hedge: bool,
     max_attempts: usize,
 }
 
@@ -101,14 +105,17 @@
             Action::Send { id, server, timeout } => self.check_attempt(id, server, timeout),
             Action::Reject { id, .. } => {
                 let request = self.request_mut(id);
-                let harmless = CLASSES[request.class] == ClassKind::Idempotent
+                let is_safe = CLASSES[request.class] == ClassKind::Idempotent
                     || request.attempts.iter().all(|attempt| attempt.never_ran);
-                assert!(harmless, "rule 2: refused what may have run");
+                assert!(is_safe, "rule 2: rejected a request that may have run");
                 request.final_answers += 1;
             }
             Action::Fail { id, .. } => self.request_mut(id).final_answers += 1,
             Action::Cancel { id, attempt } => {
-                assert!(attempt < self.requests[&id].attempts.len(), "an attempt never made");
+                assert!(
+                    attempt < self.requests[&id].attempts.len(),
+                    "cancelled an attempt that was never sent"
+                );
             }
             Action::SetTimer { delay, token } => {
                 self.timers.insert((self.now + delay.max(1), token));
@@ -118,37 +125,49 @@
     }
 
     fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
-        assert!(self.ready_servers.contains(&server), "rule 3: {server:?}");
+        assert!(
+            self.ready_servers.contains(&server),
+            "rule 3: sent to {server:?}, which is not ready"
+        );
         let zone = (server.0 % 2) as u8;
         let now = self.now;
-        let (may_duplicate, max_attempts) = (self.may_duplicate, self.max_attempts);
+        let (may_hedge, max_attempts) = (self.may_hedge, self.max_attempts);
         let request = self.request_mut(id);
-        assert!(request.is_open(), "rule 1: sent after the end");
+        assert!(request.is_open(), "rule 1: sent after the final answer");
         assert!(request.attempts.len() < max_attempts);
-        if !may_duplicate {
-            assert!(request.attempts.iter().all(|sent| !sent.in_flight), "two attempts out");
+        if !may_hedge {
+            assert!(
+                request.attempts.iter().all(|sent| !sent.in_flight),
+                "two attempts in flight without permission to hedge"
+            );
         }
         match CLASSES[request.class] {
             ClassKind::NotIdempotent => {
-                assert!(request.attempts.iter().all(|sent| sent.never_ran), "rule 2");
+                assert!(
+                    request.attempts.iter().all(|sent| sent.never_ran),
+                    "rule 2: retried an attempt that may have run"
+                );
             }
             ClassKind::WithIdempotencyKey => {
                 for sent in request.attempts.iter().filter(|sent| !sent.never_ran) {
-                    assert_eq!(sent.zone, zone, "rule 2: another group");
-                    assert!(now - sent.at <= IDEMPOTENCY_WINDOW, "rule 2: window over");
+                    assert_eq!(sent.zone, zone, "rule 2: retried in another zone");
+                    assert!(
+                        now - sent.sent_at <= IDEMPOTENCY_WINDOW,
+                        "rule 2: retried after the window"
+                    );
                 }
             }
             ClassKind::Idempotent => {}
         }
         let time_left = request.deadline - now;
-        let wait = if timeout == 0 { time_left } else { timeout.min(time_left) };
+        let effective_timeout = if timeout == 0 { time_left } else { timeout.min(time_left) };
         request.attempts.push(Attempt {
             server,
             zone,
-            at: now,
+            sent_at: now,
             in_flight: true,
             never_ran: false,
-            deadline: now + wait,
+            deadline: now + effective_timeout,
         });
     }
 
@@ -158,7 +177,7 @@
         let attempt = &mut request.attempts[index];
         attempt.in_flight = false;
         attempt.never_ran = outcome.never_ran();
-        let (server, latency) = (attempt.server, now - attempt.at);
+        let (server, latency) = (attempt.server, now - attempt.sent_at);
         if outcome == Outcome::Success && request.is_open() {
             request.final_answers = 1;
         }
@@ -174,7 +193,7 @@
         }));
     }
 
-    /// The attempts in flight, by request and index.
+    /// Returns the attempts in flight with their request and index.
     fn attempts_in_flight(&self) -> impl Iterator<Item = (RequestId, usize, &Attempt)> {
         self.requests.iter().flat_map(|(&id, request)| {
             let in_flight =
@@ -183,7 +202,7 @@
         })
     }
 
-    /// Moves the clock on; attempts time out and timers expire when they are due.
+    /// Advances the clock. Attempts time out and timers expire when they are due.
     fn advance(&mut self, to: Micros) {
         loop {
             let timer = self.timers.first().map(|&(at, _)| at);
@@ -211,13 +230,13 @@
         self.check_final_answers();
     }
 
-    /// Each request has at most one final answer, and has it in time.
+    /// Checks that each request has at most one final answer, and has it in time.
     fn check_final_answers(&self) {
         for (id, request) in &self.requests {
-            assert!(request.final_answers <= 1, "rule 1: {id:?} ended twice");
+            assert!(request.final_answers <= 1, "rule 1: {id:?} has two final answers");
             let late = self.now > request.deadline + DEADLINE_SLACK;
             let ended = request.final_answers == 1 || request.client_gone;
-            assert!(!late || ended, "rule 1: {id:?} lost");
+            assert!(!late || ended, "rule 1: {id:?} has no final answer in time");
         }
     }
 
@@ -334,12 +353,12 @@
         steps in prop::collection::vec(step(), 1..250),
         seed in any::<u64>(),
         polled in any::<bool>(),
-        may_duplicate in any::<bool>(),
+        may_hedge in any::<bool>(),
         max_attempts in 1..6usize,
     ) {
         let settings = settings(|s| {
             s["discovery"] = if polled { "on_request" } else { "pushed" }.into();
-            s["limits"]["mayDuplicate"] = may_duplicate.into();
+            s["limits"]["mayDuplicate"] = may_hedge.into();
             s["limits"]["maxAttempts"] = max_attempts.into();
         });
         let mut checker = Checker {
@@ -348,7 +367,7 @@
             requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             ready_servers: BTreeSet::new(),
-            may_duplicate,
+            may_hedge,
             max_attempts,
         };
         checker.apply(0, &Step::CompleteList { mask: 0b11_1111 });
@@ -357,7 +376,7 @@
         }
         checker.advance(checker.now + 4 * S);
         for (id, request) in &checker.requests {
-            prop_assert!(request.final_answers == 1 || request.client_gone, "rule 1: {:?} lost", id);
+            prop_assert!(request.final_answers == 1 || request.client_gone, "rule 1: {:?} has no final answer", id);
         }
     }
 }
