--- a/src/api.rs
+++ b/src/api.rs
@@ -1,32 +1,32 @@
-//! The messages of the balancer: the events it takes and the actions it returns.
+//! The interface of the balancer: the events that it takes and the actions that it returns.
 //!
-//! Nothing is decided here, and no name or layout of a wire format appears here.
+//! These types contain no decision logic and do not depend on a wire format.
 
 use smallvec::SmallVec;
 
-/// Microseconds, on a clock that starts anywhere and never runs backwards.
+/// A time or a duration in microseconds. Times are on a monotonic clock with an arbitrary origin.
 pub type Micros = u64;
 
-/// How long after a change could be fetched from discovery the instance counts as notified of it,
-/// whatever became of the calls made meanwhile (a figure of the protocol), in microseconds.
+/// Time after which an instance counts as notified of a change that it could have fetched from discovery, in
+/// microseconds. It applies even if the calls to discovery fail in the meantime. Defined by the protocol.
 pub const NOTIFICATION_DEADLINE: Micros = 6_000_000;
 
-/// The number that a sidecar gives to a request; unique within one process.
+/// The number that a sidecar assigns to a request; unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A server's identity, the same at every sidecar. It may be compared and hashed, and carries no
-/// other information.
+/// The identity of a server, which is the same at every sidecar. It may be compared and hashed, and carries no other
+/// information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct ServerId(pub u64);
 
-/// The state of a server's process according to discovery.
+/// The state of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It shuts down gracefully and must get no further requests.
+    /// It is shutting down gracefully and must get no further requests.
     Draining,
     /// It is no longer listed.
     Removed,
@@ -37,60 +37,60 @@
 pub struct ServerEntry {
     /// The server's identity.
     pub id: ServerId,
-    /// The position of its zone in the settings.
+    /// The index of its zone in the settings.
     pub zone: u8,
-    /// The position of its machine kind in the settings.
+    /// The index of its machine type in the settings.
     pub kind: u16,
-    /// The cell (pod) it belongs to.
+    /// The cell (pod) that it belongs to.
     pub cell: u16,
     /// Its state according to discovery.
     pub health: Health,
-    /// Its weight according to discovery; [`crate::settings::WeightKind`] says what it means.
+    /// Its weight according to discovery; [`crate::settings::WeightKind`] gives its meaning.
     pub weight: f32,
-    /// When its process last started; 0 means long ago.
+    /// The start time of its process, on the clock of its machine; 0 means long ago.
     pub started_at: Micros,
 }
 
-/// How an endpoint list applies to the one before it.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// The complete list.
     Complete,
-    /// The complete list as this sidecar last stored it; it may be out of date.
+    /// The complete list as last stored by this sidecar; it may be out of date.
     Cached,
     /// Only the entries that changed.
     Delta,
-    /// A poll failed or the watch broke; the last list stays in force.
+    /// A poll or the watch failed; the previous list stays in effect.
     Failed,
 }
 
-/// The values of a load report, in the order of the settings' columns.
+/// The values of a load report, in the order of the columns in the settings.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct LoadReport(pub SmallVec<[f32; 4]>);
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The server responded successfully.
     Success,
-    /// The server answered with an error; the request may have run.
+    /// The server responded with an error; the request may have run.
     ErrorResponse,
-    /// The server rejected it unread, for want of capacity: it never ran.
+    /// The server rejected it for lack of capacity without processing it: it never ran.
     Rejected,
-    /// No answer came within the attempt's timeout; the request may have run.
+    /// No response arrived within the timeout of the attempt; the request may have run.
     TimedOut,
     /// No connection could be established: it never ran.
     ConnectFailed,
     /// The connection broke; the request may have run.
     ConnectionReset,
-    /// It was cancelled by the balancer; the request may have run.
+    /// The balancer cancelled it; the request may have run.
     Cancelled,
     /// It was never sent: it never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// All of them, in the order in which they are reported.
+    /// All outcomes, in the order of statistics.
     pub const ALL: [Outcome; 8] = [
         Outcome::Success,
         Outcome::ErrorResponse,
@@ -102,7 +102,7 @@
         Outcome::NotSent,
     ];
 
-    /// The name in logs and statistics.
+    /// Returns the name in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Success => "success",
@@ -116,30 +116,30 @@
         }
     }
 
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A client's request.
+/// A new request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// The sidecar's number for it.
+    /// The number that the sidecar assigned to it.
     pub id: RequestId,
-    /// The position of its class in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// The position of its tenant in the settings.
+    /// The index of its tenant in the settings.
     pub tenant: usize,
-    /// Requests with the same key are served faster by the same server; 0 means no key.
+    /// The affinity key: a server that has recently served a key serves it again with less work. 0 means no key.
     pub affinity_key: u64,
-    /// How long the client still waits.
+    /// The time for which the client still waits for the response.
     pub time_left: Micros,
-    /// The client's estimate of the server time that the request needs.
+    /// The client's estimate of the server time that the request takes; `None` if it gave none.
     pub work_hint: Option<Micros>,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
-    /// Its tenant has used up its quota here.
+    /// Whether its tenant has used up its quota at this sidecar.
     pub over_quota: bool,
 }
 
@@ -148,49 +148,49 @@
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The position of the attempt among those of the request, from 0.
+    /// The index of the attempt among those of the request, from 0.
     pub attempt: usize,
-    /// The server it was sent to.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The time from sending it to its end.
+    /// The time from its send to its end.
     pub latency: Micros,
-    /// The request has its final answer, by this outcome or before it.
+    /// Whether the request has its final answer, due to this outcome or an earlier one.
     pub finished: bool,
-    /// The load report that came with the answer.
+    /// The load report in the response; empty if there was none.
     pub report: LoadReport,
 }
 
-/// What the balancer is told.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Discovery sent an endpoint list, or failed to.
+    /// Discovery delivered an endpoint list, or failed to.
     EndpointUpdate {
-        /// How the list applies.
+        /// How the list relates to the previous one.
         kind: ListKind,
         /// Its entries; empty if discovery failed.
         entries: &'a [ServerEntry],
     },
     /// A client sent a request.
     Request(NewRequest),
-    /// The first byte of a streamed answer came.
+    /// The first byte of a streamed response arrived.
     FirstByte {
         /// The request.
         id: RequestId,
-        /// The position of the attempt among those of the request, from 0.
+        /// The index of the attempt among those of the request, from 0.
         attempt: usize,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected, or its deadline has passed.
+    /// The client disconnected, or its deadline passed.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A timer set by [`Action::SetTimer`] has run out.
+    /// A timer set by [`Action::SetTimer`] expired.
     Timer {
-        /// The token it was set with.
+        /// The token that it was set with.
         token: u32,
     },
     /// A health check ended.
@@ -199,37 +199,37 @@
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// The time it took.
+        /// The duration of the check.
         latency: Micros,
-        /// The load report that came with its answer.
+        /// The load report in the response; empty if there was none.
         report: LoadReport,
     },
-    /// A message of another sidecar came.
+    /// A message from another sidecar arrived.
     PeerMessage {
-        /// The number of that instance.
+        /// The instance number of the sender.
         from: u32,
         /// The bytes of the message.
         data: &'a [u8],
     },
 }
 
-/// Why a request ends without a server's answer.
+/// The reason for which a request ends without the response of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The servers answer too late for its class: load is shed.
+    /// Load shedding: the servers respond too late for the class of the request.
     Overload,
-    /// Its client waits for less time than an answer takes.
+    /// The client waits for less time than a response usually takes.
     TooLittleTime,
-    /// No server may get it now.
+    /// No server may get the request now.
     NoServer,
-    /// Its time is up.
+    /// The deadline has passed.
     DeadlineExceeded,
-    /// An attempt failed, and no further one may be made.
+    /// An attempt failed, and no retry is allowed.
     AttemptsFailed,
 }
 
 impl EndReason {
-    /// All of them, in the order in which they are reported.
+    /// All reasons, in the order of statistics.
     pub const ALL: [EndReason; 5] = [
         EndReason::Overload,
         EndReason::TooLittleTime,
@@ -238,7 +238,7 @@
         EndReason::AttemptsFailed,
     ];
 
-    /// The name in logs and statistics.
+    /// Returns the name in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::Overload => "overload",
@@ -250,7 +250,7 @@
     }
 }
 
-/// What the balancer wants done.
+/// An output of the balancer, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a server.
@@ -259,37 +259,37 @@
         id: RequestId,
         /// The server.
         server: ServerId,
-        /// How long to wait for its answer.
+        /// The timeout of the attempt.
         timeout: Micros,
     },
-    /// Cancel an attempt; its outcome is reported all the same.
+    /// Cancel an attempt; its outcome must still be reported.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The position of the attempt among those of the request, from 0.
+        /// The index of the attempt among those of the request, from 0.
         attempt: usize,
     },
-    /// Give the final answer "rejected": it is safe for the client to try again.
+    /// Send the final answer "rejected": a retry by the client is safe.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client should try again; 0 means that it is not told.
+        /// The time after which the client should retry; 0 means that the answer does not tell.
         retry_after: Micros,
-        /// Why.
+        /// The reason.
         reason: EndReason,
     },
-    /// Give the final answer "failed": the request may have run.
+    /// Send the final answer "failed": the request may have run.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         reason: EndReason,
     },
     /// Report [`Event::Timer`] after a delay.
     SetTimer {
         /// The delay.
         delay: Micros,
-        /// What the event is to carry.
+        /// The token that the event must carry.
         token: u32,
     },
     /// Send a health check.
@@ -302,13 +302,13 @@
         /// The server.
         server: ServerId,
     },
-    /// Watch discovery for changes from now on.
+    /// Watch discovery for changes.
     Subscribe,
     /// Fetch the complete endpoint list once.
     FetchEndpoints,
     /// Send a message to another sidecar.
     SendToPeer {
-        /// The number of that instance, or [`crate::wire::ALL_PEERS`].
+        /// The instance number of the recipient, or [`crate::wire::ALL_PEERS`].
         peer: u32,
         /// The bytes of the message.
         data: Vec<u8>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,53 +1,53 @@
-//! The settings an instance gets at its start, as JSON.
+//! The settings that an instance gets at its start, as JSON.
 //!
-//! Unknown keys are skipped. What the balancer relies on is checked in [`Settings::from_json`].
-//! All times are in microseconds. The keys of the JSON text are the names of the platform; where a
-//! field has another name here, its key stands in its `serde` attribute.
+//! Unknown keys are ignored. [`Settings::from_json`] checks the values that the balancer relies on. All times are in
+//! microseconds. The JSON keys are defined by the platform; the `serde` attributes give the key of a field with another
+//! name.
 
 use serde::Deserialize;
 use thiserror::Error;
 
 use crate::api::Micros;
 
-/// The number of values that a load report can carry.
+/// Maximum number of values in a load report.
 const MAX_REPORT_COLUMNS: usize = 4;
-/// How long before servers forget a request its last repeat is sent: for so long a process may be held up between
-/// a look at its clock and the write.
-const REPEAT_MARGIN: Micros = 150_000;
-/// The margin takes at most this part of a window.
-const REPEAT_MARGIN_DIVISOR: Micros = 4;
+/// Time before the end of a deduplication window at which retries cease, in microseconds. A process may be held up for
+/// this long between reading its clock and writing the retry.
+const RETRY_WINDOW_MARGIN: Micros = 150_000;
+/// Limits the margin to this fraction (1 / n) of the deduplication window.
+const RETRY_WINDOW_MARGIN_DIVISOR: Micros = 4;
 
-/// Why settings cannot be used.
+/// The reason for which settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON, or a value has the wrong type.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A value is out of range.
-    #[error("settings: {key}: {expected} expected")]
+    #[error("invalid settings: {key}: expected {expected}")]
     OutOfRange {
-        /// The key of the value, as a path.
+        /// The path of the key.
         key: String,
-        /// What is allowed.
+        /// The allowed values.
         expected: &'static str,
     },
 }
 
-/// Whether a request may be sent again once it may have run.
+/// Whether a request that may have run may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum RetrySafety {
-    /// It may be sent again at any time.
+    /// It may be retried at any time.
     #[serde(rename = "idempotent")]
     Idempotent,
-    /// It carries an idempotency key: the servers of its [`DedupScope`] discard repeats of it.
+    /// It carries an idempotency key, by which the servers of its [`DedupScope`] discard duplicates.
     #[serde(rename = "deduplicated")]
     IdempotencyKey,
-    /// It must not run twice.
+    /// It must not run twice, so it is never retried once it may have run.
     #[serde(rename = "at_most_once")]
     NonIdempotent,
 }
 
-/// The servers that discard repeats of a request with an idempotency key.
+/// The servers that discard duplicates of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupScope {
@@ -63,7 +63,7 @@
 /// How servers deliver load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ReportDelivery {
-    /// With each answer and each health check.
+    /// With each response and each health check.
     #[serde(rename = "piggyback")]
     InBand,
     /// With health checks only.
@@ -74,7 +74,7 @@
     Disabled,
 }
 
-/// How changes of the endpoint list reach an instance.
+/// How an instance gets changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 pub enum DiscoveryMode {
     /// Discovery pushes them.
@@ -86,31 +86,31 @@
     OnRequest,
 }
 
-/// What the weights of an endpoint list mean.
+/// The meaning of the weights in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum WeightKind {
-    /// Nothing: they are all 1.
+    /// They have no meaning and are all 1.
     #[default]
     #[serde(rename = "silent")]
     Unspecified,
-    /// The registered size of the server.
+    /// The registered capacity of the server.
     Nominal,
-    /// About the size of the server.
+    /// The approximate capacity of the server.
     #[serde(rename = "rough")]
     Approximate,
-    /// The size divided by the recent load of each core; it changes from list to list.
+    /// The capacity divided by the recent load of each core; it changes from list to list.
     Live,
 }
 
-/// What the priority weight of a class is counted by.
+/// The unit that the priority weight of a class applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityBasis {
-    /// Each request counts the same.
+    /// A request.
     #[default]
     Request,
-    /// Each request counts by its work.
+    /// A unit of work.
     Work,
 }
 
@@ -121,77 +121,77 @@
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// Answers within this time have their full value.
+    /// The latency objective: responses within this time have their full value.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// How long a client waits, over all its attempts.
+    /// The time for which a client waits for the response, over all attempts of the request.
     pub deadline: Micros,
     /// Whether its requests may be retried once they may have run.
     #[serde(rename = "repeat")]
     pub retry_safety: RetrySafety,
-    /// Which servers discard repeats.
+    /// The servers that discard duplicates.
     #[serde(default)]
     pub dedup_scope: DedupScope,
-    /// How long they do so, from the first attempt that may have run.
+    /// The time for which they do so, from the first attempt that may have run.
     #[serde(default, rename = "window")]
     pub dedup_window: Micros,
-    /// The priority of a request beside those of other classes; 0 or more.
+    /// The priority relative to other classes; 0 or more.
     #[serde(default = "one", rename = "credit")]
     pub priority_weight: f64,
-    /// The share of its value that an answer keeps after the latency objective; 0 to 1.
+    /// The share of its value that a response keeps after the latency objective; 0 to 1.
     #[serde(default, rename = "lateWorth")]
     pub late_weight: f64,
-    /// The latency objective grows by this many times the work of the request.
+    /// The multiple of the work of a request by which its latency objective is extended.
     #[serde(default, rename = "aimStretch")]
     pub objective_stretch: f64,
-    /// Answers are streams.
+    /// Whether responses are streamed.
     #[serde(default)]
     pub streaming: bool,
 }
 
-/// The weights of the parts of the service's result.
+/// The weights of the components of the service's score.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Goal {
-    /// The result of the entire day.
+    /// The score over the entire day.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The result of the worst class.
+    /// The score of the worst class.
     pub worst_class: f64,
-    /// The result of the worst tenant, within its quota.
+    /// The score of the worst tenant within its quota.
     pub worst_tenant: f64,
-    /// The result of the worst ten seconds.
+    /// The score of the worst ten seconds.
     pub worst_window: f64,
 }
 
-/// What the site permits.
+/// The actions that the site permits, and their limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(rename = "cancel")]
     pub may_cancel: bool,
-    /// Idle connections are closed after this time.
+    /// The time after which idle connections are closed.
     #[serde(rename = "connIdle")]
     pub connection_idle_timeout: Micros,
-    /// How long a connection may take to be established.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// The most attempts of one request; 1 or more.
+    /// The maximum number of attempts per request; 1 or more.
     pub max_attempts: usize,
-    /// The longest Retry-After that a client follows.
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Micros,
-    /// A request may have two attempts in flight (hedging).
+    /// Whether a request may have two attempts in flight (hedging).
     #[serde(rename = "mayDuplicate")]
     pub may_hedge: bool,
-    /// Sidecars may send each other messages.
+    /// Whether sidecars may send each other messages.
     #[serde(rename = "mayTell")]
     pub may_message_peers: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     #[serde(rename = "probing")]
     pub may_health_check: bool,
-    /// Clients are given a Retry-After.
+    /// Whether rejections carry a Retry-After.
     pub retry_after: bool,
-    /// How many attempts a connection carries at once.
+    /// The maximum number of concurrent attempts on a connection.
     #[serde(rename = "streamsPerConn")]
     pub streams_per_connection: u32,
 }
@@ -213,13 +213,13 @@
     }
 }
 
-/// What is taken off the service's result, in points, times the rate or share of each.
+/// The points deducted from the service's score, per unit of the rate or share of each.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Prices {
     /// Open connections, per hundred servers.
     pub connection: f64,
-    /// Attempts that cross zones.
+    /// Cross-zone attempts.
     pub cross_zone: f64,
     /// New connections.
     pub handshake: f64,
@@ -232,45 +232,45 @@
     /// Health checks.
     #[serde(rename = "probe")]
     pub health_check: f64,
-    /// Server work that no client got an answer of.
+    /// Server work without a response to a client.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
 }
 
-/// The load reports of the servers.
+/// The load reports of servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(expecting = "struct Report")]
 pub struct LoadReporting {
-    /// The names of a report's values, four at most.
+    /// The names of the values in a report; four at most.
     #[serde(default)]
     pub columns: Vec<String>,
-    /// How reports are delivered.
+    /// How the reports are delivered.
     #[serde(rename = "how")]
     pub delivery: ReportDelivery,
 }
 
-/// The figures of the four rules that an instance must observe.
+/// The parameters of the four rules that an instance must observe.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
-    /// How long after a client's deadline its final answer still counts.
+    /// The time after a client's deadline within which its final answer still counts.
     pub answer_slack: Micros,
-    /// How long after its start a server is warm at the latest.
+    /// The time after its start by which a server has warmed up at the latest.
     #[serde(rename = "cold")]
     pub slow_start_window: Micros,
-    /// The share of its full capacity that a server has at its start; above 0, up to 1.
+    /// The share of its full capacity that a server has at its start; above 0 and up to 1.
     #[serde(rename = "coldShare")]
     pub initial_capacity_share: f64,
-    /// How many times its present capacity makes a server that is warming up fail; above 0.
+    /// The multiple of its current capacity at which a server in slow start fails from overload; above 0.
     #[serde(rename = "fallMultiple")]
     pub overload_factor: f64,
-    /// How long an instance may go without a poll and still count as not yet notified.
+    /// The longest time without a poll for which an instance does not yet count as notified of a change.
     #[serde(default, rename = "mustAskIn")]
     pub max_poll_interval: Micros,
-    /// How soon sends to a server must cease once it drains or is removed.
+    /// The time within which an instance must stop sending to a server that drains or is removed.
     #[serde(rename = "stopSendingWithin")]
     pub drain_deadline: Micros,
-    /// How long such an overload has to last.
+    /// The duration of such an overload after which the server fails.
     #[serde(rename = "tipAfter")]
     pub overload_duration: Micros,
 }
@@ -279,7 +279,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Tenant {
-    /// Its quota in requests per second, over all sidecars together; 0 or more.
+    /// Its quota in requests per second, for all sidecars together; 0 or more.
     #[serde(default)]
     pub quota_per_s: f64,
     /// Its share of the service; 0 or more.
@@ -287,20 +287,20 @@
     pub service_share: f64,
 }
 
-/// How clients behave.
+/// The behavior of clients.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default, expecting = "struct Clients")]
 pub struct ClientBehavior {
-    /// They mark their retries.
+    /// Whether they mark their retries.
     #[serde(rename = "marksRetry")]
     pub marks_retries: bool,
 }
 
-/// Facts about this kind of service.
+/// Properties of this kind of service.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default, expecting = "struct FamilyInfo")]
 pub struct ServiceTraits {
-    /// A server that lately served a key serves it again with less work.
+    /// Whether a server that recently served an affinity key serves it again with less work.
     #[serde(rename = "warmKeys")]
     pub key_affinity: bool,
 }
@@ -311,50 +311,50 @@
 pub struct Settings {
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
-    /// How clients behave.
+    /// The behavior of clients.
     #[serde(default)]
     pub clients: ClientBehavior,
-    /// How changes of the endpoint list reach this instance.
+    /// How this instance gets changes of the endpoint list.
     #[serde(default)]
     pub discovery: DiscoveryMode,
-    /// Facts about this kind of service.
+    /// Properties of this kind of service.
     #[serde(default, rename = "familyInfo")]
     pub service_traits: ServiceTraits,
-    /// The weights of the parts of the service's result.
+    /// The weights of the components of the service's score.
     #[serde(default)]
     pub goal: Goal,
     /// The number of instances in this tier; 1 or more.
     pub instances: u32,
-    /// What the site permits.
+    /// The actions that the site permits, and their limits.
     #[serde(default)]
     pub limits: Limits,
     /// The number of this instance, from 0.
     #[serde(rename = "me")]
     pub instance: u32,
-    /// The value of a request over its tenant's quota, beside one within it.
+    /// The value of a request over its tenant's quota, relative to one within the quota.
     #[serde(default = "one", rename = "overShareWorth")]
     pub over_quota_weight: f64,
-    /// What is taken off the service's result.
+    /// The points deducted from the service's score.
     #[serde(default)]
     pub prices: Prices,
-    /// The load reports of the servers.
+    /// The load reports of servers.
     #[serde(rename = "report")]
     pub load_reporting: LoadReporting,
-    /// The figures of the four rules.
+    /// The parameters of the four rules.
     pub rules: Rules,
-    /// The tenants; a service may have none.
+    /// The tenants; may be empty.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
     /// The shortest time between two batches of events.
     #[serde(default)]
     pub tick: Micros,
-    /// What the weights of an endpoint list mean.
+    /// The meaning of the weights in an endpoint list.
     #[serde(default)]
     pub weight_kind: WeightKind,
-    /// What the priority weight of a class is counted by.
+    /// The unit that the priority weights of classes apply to.
     #[serde(default, rename = "worthBy")]
     pub priority_basis: PriorityBasis,
-    /// The position of this instance's zone in `zones`.
+    /// The index of this instance's zone in `zones`.
     #[serde(default)]
     pub zone: u8,
     /// The names of the zones.
@@ -366,7 +366,7 @@
     1.0
 }
 
-/// Fails with the key and what is expected of it unless `valid` holds.
+/// Returns [`SettingsError::OutOfRange`] unless `valid` holds.
 fn require(
     valid: bool,
     key: impl FnOnce() -> String,
@@ -376,9 +376,9 @@
 }
 
 impl Class {
-    /// How long after the first attempt that may have run a repeat may be sent.
+    /// Returns the time after the first attempt that may have run within which a retry may be sent.
     pub fn retry_window(&self) -> Micros {
-        let margin = REPEAT_MARGIN.min(self.dedup_window / REPEAT_MARGIN_DIVISOR);
+        let margin = RETRY_WINDOW_MARGIN.min(self.dedup_window / RETRY_WINDOW_MARGIN_DIVISOR);
         self.dedup_window - margin
     }
 
@@ -386,7 +386,7 @@
         let path = |key: &'static str| move || format!("classes[{index}].{key}");
         require(self.latency_objective > 0, path("aim"), "a time above 0")?;
         require(self.deadline > 0, path("deadline"), "a time above 0")?;
-        require(self.priority_weight >= 0.0, path("credit"), "a worth of 0 or more")?;
+        require(self.priority_weight >= 0.0, path("credit"), "a number of 0 or more")?;
         let late_weight_is_share = (0.0..=1.0).contains(&self.late_weight);
         require(late_weight_is_share, path("lateWorth"), "a share from 0 to 1")
     }
@@ -407,19 +407,19 @@
         require(
             self.initial_capacity_share > 0.0 && self.initial_capacity_share <= 1.0,
             || "rules.coldShare".to_owned(),
-            "a share above 0, up to 1",
+            "a share above 0 and up to 1",
         )?;
-        require(self.overload_factor > 0.0, || "rules.fallMultiple".to_owned(), "a figure above 0")
+        require(self.overload_factor > 0.0, || "rules.fallMultiple".to_owned(), "a number above 0")
     }
 }
 
 impl Settings {
-    /// Reads and checks the settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// The text is not JSON of the expected form, or a value is out of range; the error names its
-    /// key and what is expected.
+    /// Fails if the text is not JSON of the expected form, or if a value is out of range; the error then names its
+    /// key and the allowed values.
     pub fn from_json(text: &[u8]) -> Result<Settings, SettingsError> {
         let mut settings: Settings = serde_json::from_slice(text)?;
         settings.check()?;
@@ -429,16 +429,16 @@
 
     fn check(&self) -> Result<(), SettingsError> {
         let key = |name: &'static str| move || name.to_owned();
-        require(!self.classes.is_empty(), key("classes"), "at least one")?;
+        require(!self.classes.is_empty(), key("classes"), "at least one class")?;
         for (index, class) in self.classes.iter().enumerate() {
             class.check(index)?;
         }
-        require(self.instances > 0, key("instances"), "1 or more")?;
+        require(self.instances > 0, key("instances"), "a number of 1 or more")?;
         require(self.instance < self.instances, key("me"), "a number below instances")?;
         let columns = self.load_reporting.columns.len();
-        require(columns <= MAX_REPORT_COLUMNS, key("report.columns"), "four names at most")?;
+        require(columns <= MAX_REPORT_COLUMNS, key("report.columns"), "at most four names")?;
         let zone_is_listed = self.zones.is_empty() || usize::from(self.zone) < self.zones.len();
-        require(zone_is_listed, key("zone"), "a position within zones")?;
+        require(zone_is_listed, key("zone"), "an index into zones")?;
         self.rules.check()?;
         for (index, tenant) in self.tenants.iter().enumerate() {
             tenant.check(index)?;
@@ -446,7 +446,7 @@
         Ok(())
     }
 
-    /// The position of a column of the load report.
+    /// Returns the index of a column of the load report; `None` if reports do not have it.
     pub fn column(&self, name: &str) -> Option<usize> {
         self.load_reporting.columns.iter().position(|column| column == name)
     }
