--- a/src/bin/lb-simulator-adapter.rs
+++ b/src/bin/lb-simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the balancer for the simulator: batches of events on standard input, one
-//! reply each on standard output. Instances share nothing but this process.
+//! Runs many instances of the balancer for the simulator. Reads batches of events from standard input and writes one
+//! reply to each to standard output. The instances share no state.
 #![forbid(unsafe_code)]
 
 use std::cell::RefCell;
@@ -13,26 +13,26 @@
 use lb_sidecar::wire::{self, Batch, Record, Reply, WireError, WireProblem};
 use thiserror::Error;
 
-/// The number of endpoint lists that the simulator can define.
+/// Maximum number of endpoint lists that the simulator can define.
 const MAX_LISTS: usize = 16;
-/// The size of the buffer for standard input, in bytes.
-const INPUT_BUFFER: usize = 1 << 16;
+/// Size of the buffer for standard input, in bytes.
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 thread_local! {
-    /// The message of the last panic, as the panic hook got it.
+    /// The message of the last panic, stored by the panic hook.
     static PANIC_MESSAGE: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// Why an instance cannot go on.
+/// The failure of an instance.
 #[derive(Debug, Error)]
 enum InstanceError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("panic in the decisions: {0}")]
+    #[error("balancer panicked: {0}")]
     Panic(String),
 }
 
-/// What ends the run.
+/// An error that ends the process.
 #[derive(Debug, Error)]
 enum BatchError {
     #[error(transparent)]
@@ -47,31 +47,31 @@
     actions: Vec<Action>,
 }
 
-/// Where an instance's entry in `Host::pending` is.
+/// The index of an instance's entry in `Host::pending`, valid for one batch.
 #[derive(Clone, Copy, Default)]
 struct PendingIndex {
     batch: u64,
     index: usize,
 }
 
-/// The instances, and the endpoint lists that were defined.
+/// The instances, and the defined endpoint lists.
 #[derive(Default)]
 struct Host {
     instances: Vec<Option<Box<Balancer>>>,
     lists: [Option<Vec<ServerEntry>>; MAX_LISTS],
-    /// Unknown record codes that were logged.
+    /// Unknown record codes that were already logged.
     skipped_codes: Vec<u8>,
-    /// This batch's actions, an entry for each instance in the order of their first events.
+    /// Actions of the current batch: one entry per instance, in the order in which they were first selected.
     pending: Vec<PendingActions>,
     pending_index: Vec<PendingIndex>,
     /// The number of the current batch.
     batch: u64,
-    /// Empty vectors, to be used again.
+    /// Empty vectors for reuse.
     spare: Vec<Vec<Action>>,
 }
 
 impl Host {
-    /// The position in `pending` of an instance that gets events.
+    /// Returns the index in `pending` of an instance, and adds the entry if needed.
     fn select(&mut self, instance: u16) -> usize {
         let i = usize::from(instance);
         if self.pending_index.len() <= i {
@@ -120,15 +120,15 @@
         Ok(())
     }
 
-    /// Logs a code that is not known, once.
+    /// Logs an unknown record code the first time.
     fn skip(&mut self, code: u8) {
         if !self.skipped_codes.contains(&code) {
             self.skipped_codes.push(code);
-            eprintln!("lb-simulator-adapter: skipping records of unknown code {code}");
+            eprintln!("lb-simulator-adapter: skipping records with unknown code {code}");
         }
     }
 
-    /// Handles a record for the instance at a position of `pending`.
+    /// Handles a record for the instance at an index of `pending`.
     fn handle_record(
         &mut self,
         now: Micros,
@@ -146,7 +146,7 @@
                 return Ok(());
             }
             Record::Stop => {
-                // What a killed instance still wanted dies with it.
+                // The actions of a stopped instance are discarded.
                 actions.clear();
                 *balancer = None;
                 return Ok(());
@@ -154,7 +154,7 @@
             _ => {}
         }
         let Some(event) = event(record, &self.lists)? else { return Ok(()) };
-        // Events for an instance that is not up have nobody to read them.
+        // Events for an instance that is not running are ignored.
         let Some(balancer) = balancer else { return Ok(()) };
         catch_panic(|| balancer.handle(now, event, actions)).map_err(failed)
     }
@@ -165,7 +165,7 @@
     catch_panic(|| Balancer::new(settings, seed, now))
 }
 
-/// The event of a record; `None` if it is for the host.
+/// Returns the event of a record; `None` if the host handles the record itself.
 fn event<'a>(
     record: Record<'a>,
     lists: &'a [Option<Vec<ServerEntry>>; MAX_LISTS],
@@ -196,7 +196,7 @@
     }))
 }
 
-/// Runs a part of the balancer; a panic inside comes back as an error with its message.
+/// Calls the balancer and converts a panic to an error with its message.
 fn catch_panic<T>(run: impl FnOnce() -> T) -> Result<T, InstanceError> {
     panic::catch_unwind(AssertUnwindSafe(run))
         .map_err(|_| InstanceError::Panic(PANIC_MESSAGE.with(RefCell::take)))
@@ -215,9 +215,9 @@
     }
 }
 
-/// Answers batches until the input ends. An instance that fails is reported in the last reply.
+/// Replies to batches until the input ends, or until an instance fails. The last reply then reports its fault.
 fn run() -> io::Result<()> {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     let mut reply = Reply::default();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,8 @@
-//! The simulator's binary wire: frames of fixed-size records with one tail each, little-endian.
+//! The simulator's binary protocol, little-endian: a frame has a header, fixed-size records, and a tail for data of
+//! variable length.
 //!
-//! Reading is total: any bytes give records or a [`WireError`], never a panic and never an
-//! allocation sized by a length that was not checked against the bytes at hand.
+//! Any input decodes to records or to a [`WireError`]. Decoding never panics, and never allocates by a length that
+//! was not checked against the available bytes.
 
 mod error;
 
@@ -16,14 +17,15 @@
 
 pub use error::{WireError, WireProblem};
 
-const HEADER: usize = 16;
-const REPLY_HEADER: usize = 8;
-const EVENT: usize = 40;
-const ACTION: usize = 24;
-const ENTRY: usize = 24;
-const REPORT_VALUES: usize = 4;
-const EVERYONE: u32 = u32::MAX;
+const BATCH_HEADER_BYTES: usize = 16;
+const REPLY_HEADER_BYTES: usize = 8;
+const EVENT_BYTES: usize = 40;
+const ACTION_BYTES: usize = 24;
+const LIST_ENTRY_BYTES: usize = 24;
+const MAX_REPORT_VALUES: usize = 4;
+const BROADCAST_PEER: u32 = u32::MAX;
 
+/// Codes of event records, under the names that the protocol gives them.
 mod event {
     pub const UP: u8 = 0;
     pub const DIRECTORY_UPDATE: u8 = 1;
@@ -39,6 +41,7 @@
     pub const ON: u8 = 11;
 }
 
+/// Codes of action records, under the names that the protocol gives them.
 mod action {
     pub const EMIT: u8 = 0;
     pub const AT: u8 = 1;
@@ -55,51 +58,53 @@
     pub const CALL_OUT: u8 = 12;
 }
 
-const COST_HINT: u16 = 1;
-const CLIENT_REPEAT: u16 = 2;
+/// Flag of a request: it carries a work hint.
+const WORK_HINT_FLAG: u16 = 1;
+/// Flag of a request: the client marked it as a retry.
+const CLIENT_RETRY_FLAG: u16 = 2;
 
 /// One record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// The records that follow are for this instance.
+    /// The following records are for this instance.
     SelectInstance(u16),
     /// The instance starts.
     Start {
-        /// What determines its random choices.
+        /// The seed of its random choices.
         seed: u64,
         /// Its settings as JSON.
         settings: &'a [u8],
     },
     /// The instance is stopped.
     Stop,
-    /// An endpoint list, to which updates refer by its number.
+    /// An endpoint list. Updates refer to it by its number.
     EndpointList {
-        /// The number.
+        /// The number of the list.
         list: u32,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
     /// The instance gets an endpoint list.
     EndpointUpdate {
-        /// How the list applies.
+        /// How the list relates to the previous one.
         kind: ListKind,
-        /// Its number.
+        /// The number of the list.
         list: u32,
     },
     /// A client sent a request.
     Request(NewRequest),
-    /// The first byte of a streamed answer came.
+    /// The first byte of a streamed response arrived.
     FirstByte {
         /// The request.
         id: RequestId,
-        /// The position of the attempt among those of the request, from 0.
+        /// The index of the attempt among those of the request, from 0.
         attempt: usize,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// A client disconnected.
     ClientDisconnected(RequestId),
-    /// The timer with this token ran out.
+    /// The timer with this token expired.
     Timer(u32),
     /// A health check ended.
     HealthCheckEnded {
@@ -107,23 +112,23 @@
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// The time it took.
+        /// The duration of the check.
         latency: Micros,
-        /// The load report that came with its answer.
+        /// The load report in the response; empty if there was none.
         report: LoadReport,
     },
-    /// A message of another instance came.
+    /// A message from another instance arrived.
     PeerMessage {
-        /// The number of that instance.
+        /// The instance number of the sender.
         from: u32,
         /// The bytes of the message.
         data: &'a [u8],
     },
-    /// A code this build does not know; its size is known, so it is skipped.
+    /// A record with an unknown code. It can be skipped, as all records have the same size.
     Unknown(u8),
 }
 
-/// A little-endian reader over bytes whose length was checked before.
+/// Reads little-endian fields from bytes whose length was already checked.
 struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
@@ -157,24 +162,24 @@
     }
 }
 
-/// A batch: the clock and its records. Decoding a record may still find a fault.
+/// A batch of event records. Its header is valid, but decoding a record may still fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Batch<'a> {
-    /// The clock at the time of the batch.
+    /// The time of the batch.
     pub now: Micros,
     frame: &'a [u8],
     count: usize,
 }
 
 impl<'a> Batch<'a> {
-    /// Reads the header; `frame` is the entire frame, its header included.
+    /// Parses the header of a batch. `frame` is the entire frame, including the header.
     ///
     /// # Errors
     ///
-    /// The frame is cut, its length is wrong, or its records do not fit.
+    /// Fails if the frame is truncated, its length is wrong, or its records do not fit.
     pub fn new(frame: &'a [u8]) -> Result<Batch<'a>, WireError> {
-        if frame.len() < HEADER {
-            return Err(WireError::new(WireProblem::CutInHeader, frame.len()));
+        if frame.len() < BATCH_HEADER_BYTES {
+            return Err(WireError::new(WireProblem::TruncatedHeader, frame.len()));
         }
         let head = Fields(frame);
         if head.u32(0) as usize != frame.len() {
@@ -182,21 +187,22 @@
             return Err(WireError::new(problem, 0));
         }
         let count = head.u32(12) as usize;
-        if count > (frame.len() - HEADER) / EVENT {
+        if count > (frame.len() - BATCH_HEADER_BYTES) / EVENT_BYTES {
             return Err(WireError::new(WireProblem::TooManyRecords(count), 12));
         }
         Ok(Batch { now: head.u64(4), frame, count })
     }
 
-    /// The records in their order; an error ends their use.
+    /// Decodes the records in order. The caller must stop at the first error.
     pub fn records(self) -> impl Iterator<Item = Result<Record<'a>, WireError>> {
-        (0..self.count).map(move |i| self.record(HEADER + i * EVENT))
+        (0..self.count).map(move |i| self.record(BATCH_HEADER_BYTES + i * EVENT_BYTES))
     }
 
-    /// The tail's bytes from an offset on, `len` units of `unit` bytes.
+    /// Returns the part of the tail that a record refers to. The fields at `field` are the offset, and the length in
+    /// units of `unit` bytes.
     fn tail(&self, at: usize, field: usize, unit: usize) -> Result<&'a [u8], WireError> {
-        let rec = Fields(&self.frame[at..at + EVENT]);
-        let tail = &self.frame[HEADER + self.count * EVENT..];
+        let rec = Fields(&self.frame[at..at + EVENT_BYTES]);
+        let tail = &self.frame[BATCH_HEADER_BYTES + self.count * EVENT_BYTES..];
         let from = rec.u32(field) as usize;
         let len = (rec.u32(field + 4) as usize).checked_mul(unit);
         match len.and_then(|len| from.checked_add(len)) {
@@ -206,7 +212,7 @@
     }
 
     fn record(&self, at: usize) -> Result<Record<'a>, WireError> {
-        let rec = Fields(&self.frame[at..at + EVENT]);
+        let rec = Fields(&self.frame[at..at + EVENT_BYTES]);
         Ok(match rec.u8(0) {
             event::ON => Record::SelectInstance(rec.u16(1)),
             event::UP => Record::Start { seed: rec.u64(1), settings: self.tail(at, 9, 1)? },
@@ -245,10 +251,10 @@
     }
 
     fn endpoint_list(&self, at: usize) -> Result<Record<'a>, WireError> {
-        let rec = Fields(&self.frame[at..at + EVENT]);
-        let rows = self.tail(at, 5, ENTRY)?;
+        let rec = Fields(&self.frame[at..at + EVENT_BYTES]);
+        let rows = self.tail(at, 5, LIST_ENTRY_BYTES)?;
         let entries = rows
-            .chunks_exact(ENTRY)
+            .chunks_exact(LIST_ENTRY_BYTES)
             .map(|row| entry(&Fields(row)))
             .collect::<Result<_, _>>()
             .map_err(|problem| WireError::new(problem, at + 5))?;
@@ -263,9 +269,9 @@
         tenant: rec.u32(9) as usize,
         affinity_key: rec.u64(13),
         time_left: rec.u32(21).into(),
-        work_hint: (flags & COST_HINT != 0).then(|| rec.u32(25).into()),
+        work_hint: (flags & WORK_HINT_FLAG != 0).then(|| rec.u32(25).into()),
         class: rec.u8(29).into(),
-        client_retry: flags & CLIENT_REPEAT != 0,
+        client_retry: flags & CLIENT_RETRY_FLAG != 0,
         over_quota: false,
     }
 }
@@ -296,7 +302,7 @@
 
 fn report(rec: &Fields<'_>, at: usize) -> Result<LoadReport, WireProblem> {
     let n = usize::from(rec.u8(at));
-    if n > REPORT_VALUES {
+    if n > MAX_REPORT_VALUES {
         return Err(WireProblem::ReportTooLong(n));
     }
     let values: SmallVec<[f32; 4]> = (0..n).map(|i| rec.f32(at + 1 + 4 * i)).collect();
@@ -320,11 +326,11 @@
     })
 }
 
-/// Reads one frame into `buf`. `Ok(false)` means that the input ended before a frame began.
+/// Reads one frame into `buf`. Returns `Ok(false)` if the input ends before the start of a frame.
 ///
 /// # Errors
 ///
-/// Reading fails, or the frame is malformed (`InvalidData`, from a [`WireError`]).
+/// Fails if reading fails, or with `InvalidData` and a [`WireError`] if the frame is malformed.
 pub fn read_frame(input: &mut impl Read, buf: &mut Vec<u8>) -> io::Result<bool> {
     buf.clear();
     input.by_ref().take(4).read_to_end(buf)?;
@@ -332,21 +338,21 @@
         return Ok(false);
     }
     let Ok(len) = <[u8; 4]>::try_from(buf.as_slice()) else {
-        return Err(WireError::new(WireProblem::CutInLength, buf.len()).into());
+        return Err(WireError::new(WireProblem::TruncatedLength, buf.len()).into());
     };
     let len = u32::from_le_bytes(len) as usize;
-    if len < HEADER {
+    if len < BATCH_HEADER_BYTES {
         return Err(WireError::new(WireProblem::LengthBelowHeader(len), 0).into());
     }
-    // Grows as bytes come in: a false length costs no memory.
+    // The buffer grows with the received bytes, so a wrong length does not allocate memory.
     input.by_ref().take(len as u64 - 4).read_to_end(buf)?;
     if buf.len() < len {
-        return Err(WireError::new(WireProblem::CutInFrame(len), buf.len()).into());
+        return Err(WireError::new(WireProblem::TruncatedFrame(len), buf.len()).into());
     }
     Ok(true)
 }
 
-/// Builds one reply. Records and tail grow apart and are joined by [`Reply::finish`].
+/// Builds a reply. [`Reply::finish`] joins the records and the tail, which are collected separately.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -359,47 +365,50 @@
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(fields);
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_BYTES, 0);
         self.count += 1;
     }
 
-    fn in_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
+    /// Appends bytes to the tail and returns their offset and length as record fields.
+    fn push_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
         let at = self.tail.len() as u32;
         self.tail.extend_from_slice(bytes);
-        join(&at.to_le_bytes(), &(bytes.len() as u32).to_le_bytes())
+        concat(&at.to_le_bytes(), &(bytes.len() as u32).to_le_bytes())
     }
 
-    /// Names the instance of the actions that follow.
+    /// Selects the instance that the following actions are from.
     pub fn select_instance(&mut self, instance: u16) {
         self.push(action::AT, &instance.to_le_bytes());
     }
 
-    /// The decision code has failed.
+    /// Appends a fault of the selected instance: its settings are invalid, or its balancer panicked.
     pub fn fault(&mut self, text: &str) {
-        let field = self.in_tail(text.as_bytes());
+        let field = self.push_tail(text.as_bytes());
         self.push(action::FAULT, &field);
     }
 
-    /// Appends an action of the instance named last.
+    /// Appends an action of the selected instance.
     pub fn action(&mut self, a: &Action) {
         match a {
             Action::Send { id, server, timeout } => {
-                let head: [u8; 14] = join(&id.0.to_le_bytes(), &server.0.to_le_bytes()[..6]);
-                let rec: [u8; 18] = join(&head, &span(*timeout).to_le_bytes());
+                let head: [u8; 14] = concat(&id.0.to_le_bytes(), &server.0.to_le_bytes()[..6]);
+                let rec: [u8; 18] = concat(&head, &encode_duration(*timeout).to_le_bytes());
                 self.push(action::CALL_OUT, &rec);
             }
             Action::Cancel { id, attempt } => {
                 let n = u16::try_from(*attempt).unwrap_or(u16::MAX);
-                let rec: [u8; 10] = join(&id.0.to_le_bytes(), &n.to_le_bytes());
+                let rec: [u8; 10] = concat(&id.0.to_le_bytes(), &n.to_le_bytes());
                 self.push(action::CANCEL, &rec);
             }
             Action::Reject { id, retry_after, .. } => {
-                let rec: [u8; 12] = join(&id.0.to_le_bytes(), &span(*retry_after).to_le_bytes());
+                let rec: [u8; 12] =
+                    concat(&id.0.to_le_bytes(), &encode_duration(*retry_after).to_le_bytes());
                 self.push(action::DENY, &rec);
             }
             Action::Fail { id, .. } => self.push(action::SURRENDER, &id.0.to_le_bytes()),
             Action::SetTimer { delay, token } => {
-                let rec: [u8; 8] = join(&span(*delay).to_le_bytes(), &token.to_le_bytes());
+                let rec: [u8; 8] =
+                    concat(&encode_duration(*delay).to_le_bytes(), &token.to_le_bytes());
                 self.push(action::SCHEDULE, &rec);
             }
             Action::HealthCheck { server } => {
@@ -411,20 +420,20 @@
             Action::Subscribe => self.push(action::SUBSCRIBE, &[1]),
             Action::FetchEndpoints => self.push(action::RESOLVE, &[]),
             Action::SendToPeer { peer, data } => {
-                let field = self.in_tail(data);
-                let rec: [u8; 12] = join(&peer.to_le_bytes(), &field);
+                let field = self.push_tail(data);
+                let rec: [u8; 12] = concat(&peer.to_le_bytes(), &field);
                 self.push(action::TELL, &rec);
             }
             Action::Log { text } => {
-                let field = self.in_tail(text.as_bytes());
+                let field = self.push_tail(text.as_bytes());
                 self.push(action::EMIT, &field);
             }
         }
     }
 
-    /// Appends the whole frame to `out` and starts anew.
+    /// Appends the complete frame to `out` and resets the builder.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
-        let len = REPLY_HEADER + self.records.len() + self.tail.len();
+        let len = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         out.extend_from_slice(&(len as u32).to_le_bytes());
         out.extend_from_slice(&self.count.to_le_bytes());
         out.append(&mut self.records);
@@ -433,15 +442,16 @@
     }
 }
 
-/// Every peer, as [`Action::SendToPeer`] names it.
-pub const ALL_PEERS: u32 = EVERYONE;
+/// The peer number in [`Action::SendToPeer`] that addresses all peers.
+pub const ALL_PEERS: u32 = BROADCAST_PEER;
 
-/// A span of time as the wire holds it: what does not fit is cut.
-fn span(t: Micros) -> u32 {
+/// Encodes a duration as 32 bits, saturating.
+fn encode_duration(t: Micros) -> u32 {
     u32::try_from(t).unwrap_or(u32::MAX)
 }
 
-fn join<const N: usize>(a: &[u8], b: &[u8]) -> [u8; N] {
+/// Concatenates two slices whose lengths add up to `N`.
+fn concat<const N: usize>(a: &[u8], b: &[u8]) -> [u8; N] {
     let mut out = [0; N];
     out[..a.len()].copy_from_slice(a);
     out[a.len()..].copy_from_slice(b);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire: the worked examples of its page as golden bytes, and totality on any bytes.
+//! Tests of the simulator's binary protocol: the examples of its specification as golden bytes, and decoding of
+//! arbitrary bytes.
 
 use lb_sidecar::api::*;
 use lb_sidecar::wire::{Batch, Record, Reply, read_frame};
@@ -12,7 +13,7 @@
         .collect()
 }
 
-/// A record of the given start, filled up with zeros.
+/// Builds a record of `size` bytes from its first bytes, padded with zeros.
 fn record(hex: &str, size: usize) -> Vec<u8> {
     let mut r = bytes(hex);
     r.resize(size, 0);
@@ -36,7 +37,7 @@
 }
 
 const SERVER: u64 = u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b, 0, 0]);
-const CALL: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
+const REQUEST: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
 
 #[test]
 fn empty_batch_and_reply() {
@@ -65,7 +66,7 @@
         [
             Record::SelectInstance(3),
             Record::Request(NewRequest {
-                id: RequestId(CALL),
+                id: RequestId(REQUEST),
                 class: 0,
                 tenant: 0,
                 affinity_key: 0x91f0_3b7c_55d2_0a64,
@@ -81,7 +82,11 @@
     );
     let mut reply = Reply::default();
     reply.select_instance(3);
-    reply.action(&Action::Send { id: RequestId(CALL), server: ServerId(SERVER), timeout: 80_000 });
+    reply.action(&Action::Send {
+        id: RequestId(REQUEST),
+        server: ServerId(SERVER),
+        timeout: 80_000,
+    });
     reply.action(&Action::SetTimer { delay: 500_000, token: 77 });
     reply.select_instance(5);
     reply.action(&Action::Log { text: "two servers known".into() });
@@ -135,7 +140,7 @@
     assert_eq!(
         records[1],
         Record::AttemptEnded(AttemptEnd {
-            id: RequestId(CALL),
+            id: RequestId(REQUEST),
             attempt: 0,
             server: ServerId(SERVER),
             outcome: Outcome::Success,
