--- a/src/balancer/ejection.rs
+++ b/src/balancer/ejection.rs
@@ -72,15 +72,15 @@
         }
     }
 
-    /// Counts a consecutive failure, and ejects the server if there are enough. `base_time` determines the ejection
-    /// time, in microseconds; each failed trial doubles it. A failed connection attempt counts twice, and a time-out
-    /// without any response in the meantime ejects the server at once.
+    /// Counts a consecutive failure, and ejects the server if there are enough. `base_ejection_time` determines the
+    /// ejection time, in microseconds; each failed trial doubles it. A failed connection attempt counts twice, and a
+    /// time-out without any response in the meantime ejects the server at once.
     pub(super) fn on_failure(
         &mut self,
         slot: Slot,
         outcome: Outcome,
         sent_at: Micros,
-        base_time: f64,
+        base_ejection_time: f64,
     ) {
         let server = &mut self.servers[slot];
         // An attempt sent before the end of the ejection time is not a trial. If it counted as one, many failures at
@@ -98,7 +98,7 @@
         };
         if let Some(doublings) = server.consecutive_failures.checked_sub(CONSECUTIVE_FAILURES) {
             let factor = f64::from(1u32 << doublings.min(MAX_DOUBLINGS));
-            server.ejected_until = self.now + (base_time * 0.25 * factor) as Micros;
+            server.ejected_until = self.now + (base_ejection_time * 0.25 * factor) as Micros;
         }
     }
 }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -23,7 +23,7 @@
         let is_open = |a: &&Attempt| a.state == AttemptState::InFlight && a.server == server;
         let Some(attempt) = request.attempts.get(result.attempt).filter(is_open) else { return };
         let (slot, sent_at) = (attempt.slot, attempt.sent_at);
-        let ejection_time = self.reset_interval as f64 * (0.75 + 0.5 * self.uniform());
+        let base_ejection_time = self.reset_interval as f64 * (0.75 + 0.5 * self.uniform());
         if !self.record_end(slot, server, outcome, sent_at) {
             return;
         }
@@ -45,7 +45,7 @@
                     self.record_lateness(slot, class, self.objective(class));
                 }
             }
-            _ => self.on_failure(slot, outcome, sent_at, ejection_time),
+            _ => self.on_failure(slot, outcome, sent_at, base_ejection_time),
         }
     }
 
