--- a/crates/config-distribution/src/net/target/fleet_daemon.rs
+++ b/crates/config-distribution/src/net/target/fleet_daemon.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use fleet::control::{Request, ask};
+use fleet::control::{Request, send_request};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -70,7 +70,8 @@
 
     async fn ask(&self, request: Request) -> Result<Value, ApplyError> {
         let state_dir = self.state_dir.clone();
-        let response = tokio::task::spawn_blocking(move || ask(&state_dir, &request)).await?;
+        let response =
+            tokio::task::spawn_blocking(move || send_request(&state_dir, &request)).await?;
         Ok(response?)
     }
 
--- a/crates/fleet/src/control/client.rs
+++ b/crates/fleet/src/control/client.rs
@@ -49,7 +49,7 @@
 /// # Errors
 ///
 /// When there is no daemon, or it rejects the request.
-pub fn ask(state_directory: &Path, request: &Request) -> Result<Value, ClientError> {
+pub fn send_request(state_directory: &Path, request: &Request) -> Result<Value, ClientError> {
     let path = state_directory.join(SOCKET_NAME);
     let text = serde_json::to_string(request).map_err(ClientError::Encode)?;
     let line = match exchange(&path, &text) {
--- a/crates/fleet/src/control/mod.rs
+++ b/crates/fleet/src/control/mod.rs
@@ -17,7 +17,7 @@
 use crate::state::HistoryEntry;
 
 pub(crate) use client::SOCKET_NAME;
-pub use client::{ClientError, ask};
+pub use client::{ClientError, send_request};
 pub use server::{PendingRequest, Reply, serve};
 pub use status::{FleetStatus, RolloutStatus, SlotState, SlotStatus};
 
--- a/crates/fleet/tests/compatibility.rs
+++ b/crates/fleet/tests/compatibility.rs
@@ -13,7 +13,7 @@
 
 use fakes::program::Folder;
 use fakes::until;
-use fleet::control::{PendingRequest, Request, RequestError, ask, serve};
+use fleet::control::{PendingRequest, Request, RequestError, send_request, serve};
 use fleet::process::find_instances;
 use fleet::spec::Spec;
 use fleet::state::PersistentState;
@@ -185,7 +185,7 @@
             line
         });
         let parsed: Request = serde_json::from_str(&request).expect("a request");
-        let result = ask(folder.path(), &parsed);
+        let result = send_request(folder.path(), &parsed);
         assert_eq!(daemon.join().expect("the daemon"), request, "{name}");
         let result = match result {
             Ok(value) => json!({"ok": value}),
--- a/crates/lbctl/src/fleet.rs
+++ b/crates/lbctl/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use fleet::control::{Request, ask};
+use fleet::control::{Request, send_request};
 use serde_json::Value;
 
 use crate::outcome::{STATUS_ERROR, STATUS_FAILED, print_error};
@@ -87,11 +87,11 @@
     let Arguments { state, json, wait, command } = arguments;
     let request = command.into_request();
     // The first request tells a missing daemon from one that rejects the second.
-    if let Err(error) = ask(&state, &Request::Status) {
+    if let Err(error) = send_request(&state, &Request::Status) {
         print_error(&error);
         return ExitCode::from(STATUS_ERROR);
     }
-    let answer = match ask(&state, &request) {
+    let answer = match send_request(&state, &request) {
         Ok(answer) => answer,
         Err(error) => {
             print_error(&format_args!("refused: {error}"));
@@ -120,7 +120,7 @@
     let wanted = answer["generation"].as_u64();
     while Instant::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
-        let Ok(status) = ask(state, &Request::Status) else { continue };
+        let Ok(status) = send_request(state, &Request::Status) else { continue };
         if status["target"] != status["base"] || status["checking"] == true {
             continue;
         }
@@ -147,7 +147,7 @@
 
 /// The last entry of the daemon's history that tells of a rollback.
 fn rollback_reason(state: &Path) -> String {
-    let history = ask(state, &Request::History).unwrap_or_default();
+    let history = send_request(state, &Request::History).unwrap_or_default();
     let entries = history.as_array().cloned().unwrap_or_default();
     let rollback = entries.iter().rev().find(|entry| entry.to_string().contains("goes back"));
     let reason = rollback.and_then(|entry| entry["what"].as_str());
--- a/crates/local-cluster/src/host.rs
+++ b/crates/local-cluster/src/host.rs
@@ -12,7 +12,7 @@
 use fakes::account::Account;
 use fakes::program::{Folder, ProgramError, built};
 use fakes::world::{World, ZONES};
-use fleet::control::{ClientError, Request, ask};
+use fleet::control::{ClientError, Request, send_request};
 use rustix::process::Signal;
 use serde_json::Value;
 
@@ -246,7 +246,7 @@
     ///
     /// When there is no daemon, or it rejects the request.
     pub fn ask(&self, request: &Request) -> Result<Value, ClientError> {
-        ask(&self.state_directory(), request)
+        send_request(&self.state_directory(), request)
     }
 
     /// The daemon's status; null without a daemon.
