--- a/crates/instance-status/src/lib.rs
+++ b/crates/instance-status/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a sidecar reports of itself, and how: datagrams as in sd_notify(3).
+//! The status reports of a sidecar, sent as datagrams of the sd_notify(3) protocol.
 //!
-//! Beside systemd's own fields (`READY`, `STOPPING`, `WATCHDOG`, `MAINPID`) a datagram carries the
-//! status of the sidecar as `X_STATE`, one line of JSON. systemd ignores fields that it does not know.
+//! Beside the fields of systemd (`READY`, `STOPPING`, `WATCHDOG`, `MAINPID`) a datagram carries the status
+//! of the sidecar as one line of JSON in the field `X_STATE`. systemd ignores unknown fields.
 
 mod status;
 mod supervisor;
@@ -9,5 +9,5 @@
 pub use status::{InstanceStatus, RejectedConfig, RequestCounts};
 pub use supervisor::SupervisorSocket;
 
-/// The longest datagram, in bytes.
+/// The length limit of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
--- a/crates/instance-status/src/status.rs
+++ b/crates/instance-status/src/status.rs
@@ -1,22 +1,22 @@
-//! The status of one sidecar. The names that are sent are those of version 0.2.0.
+//! The status of a sidecar. The serialized names are those of version 0.2.0.
 
 use std::borrow::Cow;
 use std::ops::AddAssign;
 
 use serde::{Deserialize, Serialize};
 
-/// The field that carries the status.
+/// The name of the field that carries the status, with the separator.
 const STATUS_FIELD: &str = "X_STATE=";
 
-/// Requests by their final answer, since the start of the process.
+/// The requests that a process has answered since it started, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct RequestCounts {
-    /// Answered with a server's response.
+    /// Requests that were answered with the response of a server.
     pub served: u64,
-    /// Rejected: a retry is safe.
+    /// Requests that were rejected. The client can safely retry them.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
@@ -28,49 +28,49 @@
     }
 }
 
-/// A configuration that was not applied completely.
+/// A configuration that was not completely applied.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct RejectedConfig {
-    /// Its generation; 0 if the file could not be read as far as that.
+    /// The generation of the configuration, or 0 if the file could not be parsed far enough to know it.
     pub generation: u64,
-    /// The first reason.
+    /// The first of the reasons.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// The status of one sidecar.
+/// The status of a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// The name of the sidecar.
     pub name: String,
-    /// Its process.
+    /// The pid of the sidecar.
     pub pid: u32,
-    /// Its program's version.
+    /// The version of the program.
     pub version: Cow<'static, str>,
     /// The generation of the configuration in force.
     pub generation: u64,
-    /// The last configuration that was not applied completely.
+    /// The last configuration that was not completely applied, or `None` if there is none.
     #[serde(rename = "declined")]
     pub rejected_config: Option<RejectedConfig>,
-    /// Discovery was asked, and servers are known.
+    /// Whether the sidecar is ready to serve: discovery was queried, and servers are known.
     pub ready: bool,
-    /// It only completes the requests that it has accepted.
+    /// Whether the sidecar is draining: it only completes the requests that it has accepted.
     pub draining: bool,
-    /// Connections of clients.
+    /// The number of open client connections.
     #[serde(rename = "clients")]
     pub client_connections: usize,
-    /// Requests that were accepted and are not answered yet.
+    /// The number of requests that were accepted and are not answered yet.
     #[serde(rename = "open")]
     pub in_flight_requests: usize,
-    /// Accepting has failed just now, because file descriptors have run out.
+    /// Whether accepting a connection has recently failed for lack of file descriptors.
     #[serde(rename = "short")]
     pub out_of_descriptors: bool,
-    /// Requests by their final answer.
+    /// The requests answered since the start of the process, by outcome.
     pub counts: RequestCounts,
 }
 
 impl InstanceStatus {
-    /// The datagram that reports this status.
+    /// Returns the datagram that reports this status.
     pub fn to_datagram(&self) -> String {
         let mut text = format!("MAINPID={}\nWATCHDOG=1\n", self.pid);
         if self.ready {
@@ -85,7 +85,7 @@
         text
     }
 
-    /// The status in a datagram, if it carries one that can be understood.
+    /// Parses the status in a datagram. Returns `None` if there is none or it is malformed.
     pub fn from_datagram(datagram: &[u8]) -> Option<InstanceStatus> {
         let text = std::str::from_utf8(datagram).ok()?;
         let status = text.lines().find_map(|line| line.strip_prefix(STATUS_FIELD))?;
--- a/crates/instance-status/src/supervisor.rs
+++ b/crates/instance-status/src/supervisor.rs
@@ -1,21 +1,22 @@
-//! The connection to whatever supervises this process: systemd, or the fleet's daemon.
+//! The socket of the supervisor of this process, which is systemd or the fleet daemon.
 
 use std::os::unix::net::UnixDatagram;
 
-/// The variable that names the supervisor's socket.
+/// The environment variable with the path of the socket of the supervisor.
 const SOCKET_VARIABLE: &str = "NOTIFY_SOCKET";
 
-/// The socket of this process's supervisor.
+/// A socket that sends datagrams to the supervisor of this process.
 ///
-/// It never blocks: a supervisor that does not read would otherwise stop the event loop that serves
-/// clients. Crates for sd_notify block, so none is used.
+/// It never blocks, as a supervisor that does not read would otherwise stop the event loop that serves
+/// clients. The crates for sd_notify block, so none of them is used.
 pub struct SupervisorSocket {
     socket: UnixDatagram,
     path: String,
 }
 
 impl SupervisorSocket {
-    /// The socket that `NOTIFY_SOCKET` names, if it names one by an absolute path.
+    /// Creates a socket that sends to the path in `NOTIFY_SOCKET`. Returns `None` if the variable is not
+    /// set or is not an absolute path, or no socket can be created.
     pub fn from_env() -> Option<SupervisorSocket> {
         let path = std::env::var(SOCKET_VARIABLE).ok().filter(|path| path.starts_with('/'))?;
         let socket = UnixDatagram::unbound().ok()?;
@@ -23,8 +24,8 @@
         Some(SupervisorSocket { socket, path })
     }
 
-    /// Sends one or more fields, one per line. Returns whether they were sent; they may still be
-    /// lost when the supervisor is gone or its queue is full.
+    /// Sends one or more fields, one per line. Returns whether they were sent. They are lost if the
+    /// supervisor is gone or its queue is full.
     pub fn send(&self, fields: &str) -> bool {
         self.socket.send_to(fields.as_bytes(), &self.path).is_ok()
     }
--- a/crates/instance-status/tests/compatibility.rs
+++ b/crates/instance-status/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Datagrams that a sidecar of version 0.2.0 sent to its supervisor are read, and written again byte
-//! for byte. The fixtures were recorded from the sidecar's own program and are not rewritten.
+//! Checks that datagrams which a sidecar of version 0.2.0 sent to its supervisor are parsed, and
+//! serialized again byte for byte. The fixtures were recorded from that program and must not be changed.
 
 use std::fs;
 use std::path::Path;
@@ -13,10 +13,10 @@
 
 fn round_trip(name: &str) -> InstanceStatus {
     let recorded = fixture(name);
-    let state =
-        InstanceStatus::from_datagram(&recorded).unwrap_or_else(|| panic!("{name}: no state"));
-    assert_eq!(state.to_datagram().as_bytes(), recorded, "{name}");
-    state
+    let status =
+        InstanceStatus::from_datagram(&recorded).unwrap_or_else(|| panic!("{name}: no status"));
+    assert_eq!(status.to_datagram().as_bytes(), recorded, "{name}");
+    status
 }
 
 #[test]
@@ -31,8 +31,8 @@
 
 #[test]
 fn recorded_datagram_with_a_rejected_configuration_is_read_and_written_unchanged() {
-    let state = round_trip("configuration-declined.datagram");
-    let declined = state.rejected_config.expect("a rejected configuration");
-    assert_eq!(declined.generation, 0);
-    assert!(declined.reason.starts_with("LB_CONFIG: invalid type"), "{}", declined.reason);
+    let status = round_trip("configuration-declined.datagram");
+    let rejected = status.rejected_config.expect("a rejected configuration");
+    assert_eq!(rejected.generation, 0);
+    assert!(rejected.reason.starts_with("LB_CONFIG: invalid type"), "{}", rejected.reason);
 }
--- a/crates/instance-status/tests/datagram.rs
+++ b/crates/instance-status/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagrams that carry a status.
+//! Tests of the datagrams that carry a status.
 
 use instance_status::{InstanceStatus, MAX_DATAGRAM_BYTES, RequestCounts};
 
