--- a/crates/fleet/src/control/client.rs
+++ b/crates/fleet/src/control/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side of the socket.
+//! The client side of the control socket.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -10,36 +10,37 @@
 
 use super::Request;
 
-/// The daemon's socket in its state directory.
+/// The name of the control socket in the state directory.
 pub(crate) const SOCKET_NAME: &str = "control.sock";
-/// How long either side may take to send or read a line.
+/// The time that either side may take to send or read a line.
 pub(super) const IO_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the daemon may take to carry out a request: a reload checks the configurations first.
+/// The time that the daemon may take to carry out a request. A reload checks the configurations before
+/// it is answered.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The daemon was not asked, or did not do what it was asked for.
+/// A request failed: it did not reach the daemon, or the daemon rejected it.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// The daemon cannot be reached.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The daemon's socket.
+        /// The path of the control socket.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The request cannot be written as JSON.
+    /// The request cannot be serialized.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// The daemon's response is not JSON.
+    /// The response of the daemon is not valid JSON.
     #[error("{}: {source}", path.display())]
     Decode {
-        /// The daemon's socket.
+        /// The path of the control socket.
         path: PathBuf,
-        /// Where and why.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The daemon rejected the request: its reason.
+    /// The daemon rejected the request for this reason.
     #[error("{0}")]
     Rejected(String),
 }
@@ -48,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// When there is no daemon, or it rejects the request.
+/// When the daemon cannot be reached or does not answer in time, or it rejects the request.
 pub fn send_request(state_directory: &Path, request: &Request) -> Result<Value, ClientError> {
     let path = state_directory.join(SOCKET_NAME);
     let text = serde_json::to_string(request).map_err(ClientError::Encode)?;
--- a/crates/fleet/src/control/mod.rs
+++ b/crates/fleet/src/control/mod.rs
@@ -1,5 +1,6 @@
-//! The daemon's Unix socket for operators: one request per line, one response per line, both JSON.
-//! The socket is in the state directory, which only its owner can open.
+//! The control socket, a Unix socket by which operators control the daemon. A client sends one request
+//! per connection, as a line of JSON, and gets one response, also a line of JSON. The socket is in the
+//! state directory, which only its owner can access.
 
 mod client;
 mod server;
@@ -21,120 +22,120 @@
 pub use server::{PendingRequest, Reply, serve};
 pub use status::{FleetStatus, RolloutStatus, SlotState, SlotStatus};
 
-/// What operators can ask for.
+/// A request of an operator.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Request {
-    /// The state of the fleet.
+    /// Returns the status of the fleet.
     Status,
-    /// What happened.
+    /// Returns the history of events.
     History,
-    /// Read `fleet.toml` again.
+    /// Reads `fleet.toml` again, and rolls it out if it has changed.
     Reload,
-    /// Read the program again.
+    /// Reads the program again, and rolls it out if it has changed.
     Upgrade {
-        /// A program in place of the one that `fleet.toml` names.
+        /// The program to roll out, or `None` for the one that the target names.
         program: Option<PathBuf>,
     },
-    /// Undo the rollout that runs.
+    /// Undoes the current rollout.
     Rollback,
-    /// Take an instance out of service until it is restarted.
+    /// Takes an instance out of service until it is restarted.
     Drain {
-        /// The instance.
+        /// The slot of the instance.
         slot: String,
     },
-    /// Replace an instance by a successor; without a slot, all instances.
+    /// Replaces an instance by a successor.
     Restart {
-        /// The instance.
+        /// The slot of the instance, or `None` for all instances.
         slot: Option<String>,
     },
-    /// Change the number of instances, until the next reload.
+    /// Changes the number of instances of a template, until the next reload.
     Scale {
-        /// The template.
+        /// The name of the template.
         name: String,
-        /// How many.
+        /// The new number of instances.
         count: usize,
     },
 }
 
-/// The answer to a request that was carried out or begun.
+/// The response to a request that was carried out or begun.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(untagged)]
 pub enum Response {
-    /// The state of the fleet.
+    /// The status of the fleet.
     Status(Box<FleetStatus>),
-    /// What happened, the oldest entry first.
+    /// The history of events, the oldest entry first.
     History(Vec<HistoryEntry>),
-    /// A reload or an upgrade is sound.
+    /// A reload or an upgrade passed its check.
     RolloutBegun {
-        /// What is rolled out.
+        /// The generation that is rolled out, or the target if nothing has changed.
         generation: Generation,
-        /// Whether it differs from what was the target before.
+        /// Whether a rollout was begun. `false` if the target is up to date.
         changed: bool,
     },
-    /// A rollout is undone.
+    /// The rollout is being undone.
     RolledBack {
-        /// What all instances run again.
+        /// The stable generation, to which all instances return.
         generation: Generation,
     },
-    /// An instance is taken out of service.
+    /// An instance is being taken out of service.
     Drained {
-        /// The instance.
+        /// The slot of the instance.
         slot: String,
     },
     /// Instances are being replaced.
     Restarted {
-        /// How many processes.
+        /// The number of processes that are replaced.
         processes: usize,
     },
     /// The number of instances is changed.
     Scaled {
-        /// The template.
+        /// The name of the template.
         name: String,
-        /// How many instances it has now.
+        /// The new number of instances.
         count: usize,
     },
 }
 
-/// Why a request was not carried out.
+/// The reason why a request was not carried out.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There is no such instance.
+    /// There is no instance with this name.
     #[error("{slot}: no such instance")]
     UnknownSlot {
-        /// The name that was given.
+        /// The requested name.
         slot: String,
     },
-    /// There is no such template.
+    /// There is no template with this name.
     #[error("{name}: no such template")]
     UnknownTemplate {
-        /// The name that was given.
+        /// The requested name.
         name: String,
     },
-    /// A template has fewer addresses.
+    /// The template has fewer addresses than the requested number of instances.
     #[error("{name}: {max} at most, as many as it has addresses")]
     TooManyInstances {
-        /// The template.
+        /// The name of the template.
         name: String,
-        /// How many addresses it has.
+        /// The number of addresses of the template.
         max: usize,
     },
-    /// All instances are ending.
+    /// The fleet is shutting down.
     #[error("the fleet stops")]
     ShuttingDown,
-    /// An earlier change has not been checked yet.
+    /// An earlier change is still being checked.
     #[error("another change is being checked")]
     CheckInProgress,
-    /// An earlier change is being rolled out.
+    /// An earlier change is still being rolled out.
     #[error("a rollout to generation {target} runs")]
     RolloutInProgress {
-        /// What is rolled out.
+        /// The generation that is rolled out.
         target: Generation,
     },
     /// There is no rollout to undo.
     #[error("no rollout runs")]
     NoRollout,
-    /// There is no target to upgrade.
+    /// There is no target yet that could be upgraded.
     #[error("nothing runs yet")]
     NothingRuns,
     /// `fleet.toml` cannot be used.
@@ -143,21 +144,21 @@
     /// The program cannot be copied.
     #[error("{}: {source}", path.display())]
     ImportProgram {
-        /// The program.
+        /// The path of the program.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The program does not accept its configuration.
+    /// The program did not accept its configuration.
     #[error(transparent)]
     Check(#[from] CheckError),
     /// The change cannot be stored.
     #[error("the state cannot be kept: {0}")]
     Store(#[source] io::Error),
-    /// The request is not one that the daemon knows.
+    /// The request is not valid JSON or has an unknown form.
     #[error("not understood: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// The daemon ended before it had answered.
+    /// The daemon exited before it answered.
     #[error("the daemon ends")]
     DaemonEnded,
     /// The daemon did not answer in time.
--- a/crates/fleet/src/control/server.rs
+++ b/crates/fleet/src/control/server.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of the socket.
+//! The server side of the control socket.
 
 use std::io;
 use std::path::Path;
@@ -14,25 +14,26 @@
 use super::client::{IO_TIMEOUT, RESPONSE_TIMEOUT};
 use super::{Request, RequestError, Response};
 
-/// The longest request.
+/// The length limit of a request, in bytes.
 const MAX_REQUEST_BYTES: u64 = 4 << 10;
-/// Further connections wait to be accepted.
+/// The number of connections that are served at once. Further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 16;
-/// After a failure to accept, the next attempt waits for so long.
+/// The delay before the next attempt after a failure to accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Where the response to a request goes.
+/// The channel for the response to a request.
 pub type Reply = oneshot::Sender<Result<Response, RequestError>>;
 
 /// A request that waits for its response.
 pub struct PendingRequest {
     /// The request.
     pub request: Request,
-    /// Where its response goes.
+    /// The channel for its response.
     pub reply: Reply,
 }
 
-/// Serves the socket at `path`, on the current runtime; every request is sent to `requests`.
+/// Binds the socket at `path` and serves it in a task on the current runtime. Each request is sent to
+/// `requests`.
 ///
 /// # Errors
 ///
@@ -40,7 +41,7 @@
 ///
 /// # Panics
 ///
-/// Outside of a runtime.
+/// When called outside of a tokio runtime.
 pub fn serve(path: &Path, requests: mpsc::Sender<PendingRequest>) -> io::Result<()> {
     let _ = std::fs::remove_file(path);
     let listener = UnixListener::bind(path)?;
@@ -67,8 +68,8 @@
 
 /// Reads one request and writes its response.
 ///
-/// A client may send garbage, nothing, or without end, and may not read. Each occupies one of few
-/// connections until a timeout, and nothing else.
+/// A client that sends invalid data, nothing or an endless line, or that does not read its response,
+/// occupies its connection until a timeout and affects nothing else.
 async fn serve_connection(
     socket: UnixStream,
     requests: mpsc::Sender<PendingRequest>,
@@ -88,7 +89,7 @@
     timeout(IO_TIMEOUT, write.write_all(text.as_bytes())).await?
 }
 
-/// Lets the daemon carry out a request; nothing if the daemon does not take requests any more.
+/// Has the daemon carry out a request. Returns `None` if the daemon no longer takes requests.
 async fn forward(
     request: Request,
     requests: &mpsc::Sender<PendingRequest>,
--- a/crates/fleet/src/control/status.rs
+++ b/crates/fleet/src/control/status.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet, as operators see it.
+//! The status of the fleet that operators see.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,108 +8,109 @@
 
 use crate::planner::Generation;
 
-/// The state of the fleet. The names that are sent are those of version 0.2.0.
+/// The status of the fleet. The serialized names are those of version 0.2.0.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct FleetStatus {
-    /// The daemon's version.
+    /// The version of the daemon.
     pub version: String,
-    /// The daemon's process.
+    /// The pid of the daemon.
     pub pid: u32,
-    /// The file of the desired state.
+    /// The path of `fleet.toml`.
     pub file: PathBuf,
-    /// What all instances are to run.
+    /// The generation that all instances should run.
     pub target: Generation,
-    /// The last generation that is known to be good.
+    /// The last generation that was rolled out completely.
     #[serde(rename = "base")]
     pub stable: Generation,
-    /// The rollout that runs, if one does.
+    /// The current rollout, or `None` if there is none.
     pub rollout: Option<RolloutStatus>,
-    /// A change is being checked.
+    /// Whether a change is being checked.
     pub checking: bool,
-    /// All instances are ending.
+    /// Whether the fleet is shutting down.
     #[serde(rename = "stopping")]
     pub shutting_down: bool,
-    /// What keeps the daemon itself from its work.
+    /// The last error of the daemon itself, or `None` if there is none.
     #[serde(rename = "trouble")]
     pub fault: Option<String>,
-    /// Whether the process that keeps the listeners is there.
+    /// Whether the daemon is connected to the socket holder.
     #[serde(rename = "holder")]
     pub socket_holder: bool,
-    /// All instances.
+    /// The status of all instances.
     pub slots: Vec<SlotStatus>,
 }
 
-/// A rollout that runs.
+/// The status of a rollout in progress.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct RolloutStatus {
-    /// The generation that it leads to.
+    /// The generation that is rolled out.
     pub target: Generation,
-    /// The instances that got it first.
+    /// The instances that got the generation first.
     pub canaries: Vec<String>,
-    /// The canaries have passed, and the other instances follow.
+    /// Whether the canaries have passed and the other instances follow.
     pub waves: bool,
 }
 
-/// What an instance does.
+/// The state of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum SlotState {
-    /// It cannot be started, for a reason outside of it.
+    /// It cannot be started for an external reason, such as an address that is in use.
     Blocked,
-    /// A successor takes its place.
+    /// It is being replaced by a successor.
     Moving,
-    /// It completes the requests that it has, and ends.
+    /// It completes its requests and exits.
     Draining,
-    /// It serves.
+    /// It is ready and serves.
     Serving,
-    /// It is not ready yet.
+    /// It has been started and is not ready yet.
     Starting,
-    /// Operators took it out of service.
+    /// An operator took it out of service.
     Drained,
-    /// It failed too often in a row and is started rarely.
+    /// It is in a crash loop: it failed repeatedly and is restarted at the maximum backoff.
     #[serde(rename = "held")]
     CrashLoop,
-    /// It is to be started.
+    /// It has no process and is due to be started.
     Waiting,
-    /// It has ended and is not to be started again.
+    /// It has ended and will not be started again.
     Gone,
 }
 
-/// The state of one instance. Without a process or its report, what they would tell is missing.
+/// The status of one instance. Values that come from its process are `None` if there is no process, and
+/// values that come from its status reports are `None` before the first one.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct SlotStatus {
-    /// Its name.
+    /// The name of the instance.
     pub slot: String,
-    /// What it does.
+    /// The state of the instance.
     pub state: SlotState,
-    /// Where it listens.
+    /// The address of its listener, or `None` if it has no listener.
     pub listen: Option<SocketAddr>,
-    /// Its process.
+    /// The pid of its first process.
     pub pid: Option<u32>,
-    /// How many processes it has.
+    /// The number of its processes.
     pub processes: usize,
-    /// What it runs.
+    /// The generation that it runs.
     pub generation: Option<Generation>,
-    /// Its program's version.
+    /// The version of its program.
     pub version: Option<String>,
-    /// For how many seconds its process has run, as far as the daemon knows.
+    /// The uptime of its process in seconds; for an adopted process, since the adoption.
     #[serde(rename = "up_s")]
     pub uptime_seconds: Option<u64>,
-    /// Connections of clients.
+    /// The number of open client connections.
     #[serde(rename = "clients")]
     pub client_connections: Option<usize>,
-    /// Requests in flight.
+    /// The number of requests in flight.
     #[serde(rename = "open")]
     pub in_flight_requests: Option<usize>,
-    /// Requests by their final answer.
+    /// The number of answered requests, by outcome.
     #[serde(rename = "counts")]
     pub requests: Option<RequestCounts>,
-    /// It has run out of file descriptors.
+    /// Whether it has run out of file descriptors.
     #[serde(rename = "short_of_descriptors")]
     pub out_of_descriptors: bool,
-    /// Failures in a row.
+    /// The number of consecutive failures.
     pub failures: u32,
-    /// What is wrong with it, or why it failed last.
+    /// The reason why it is blocked, else its last failure; `None` if there is neither.
     #[serde(rename = "why")]
     pub reason: Option<String>,
 }
