--- a/crates/fleet/src/daemon/actions.rs
+++ b/crates/fleet/src/daemon/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the planner decides.
+//! Carries out the actions of the planner.
 
 use std::collections::BTreeSet;
 use std::os::fd::OwnedFd;
@@ -9,18 +9,18 @@
 use super::Daemon;
 use super::error::InstanceError;
 use super::event::FleetEvent;
-use super::instance::{InstanceProcess, Origin};
+use super::instance::{InstanceProcess, ProcessOrigin};
 use crate::planner::{
     Action, DesiredState, Generation, ObservedProcess, ProcessId, RollbackReason, Subject,
 };
-use crate::process::{InstanceMark, Process, StartOptions};
+use crate::process::{InstanceIdentity, Process, StartOptions};
 use crate::state::Revision;
 
-/// A listener that could not be bound is tried again after so long.
+/// The time for which a slot stays blocked after its listener could not be bound.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Daemon {
-    /// Asks the planner for the next steps and carries them out.
+    /// Gets the next actions from the planner and carries them out.
     pub(super) fn reconcile(&mut self) {
         let now = self.now();
         self.blocked_slots
@@ -34,7 +34,7 @@
         self.close_unused_listeners(&desired);
     }
 
-    /// The desired state as the planner takes it.
+    /// Builds the desired state for the planner from the stored state.
     pub(super) fn desired_state(&self) -> DesiredState {
         let (target, stable) = (self.state.target, self.state.stable);
         let revision = |generation| self.state.revisions.get(&generation);
@@ -94,7 +94,7 @@
         self.notify_supervisor("READY=1");
     }
 
-    /// Logs an action that is a command to a process.
+    /// Logs an action if it is a command to a process.
     fn log_command(&self, action: &Action) {
         if let Action::Reload { process, .. }
         | Action::HandOver { process }
@@ -102,7 +102,7 @@
         | Action::Kill { process } = action
             && let Some(target) = self.processes.get(process)
         {
-            let (instance, pid) = (&target.mark.slot, target.process.pid);
+            let (instance, pid) = (&target.identity.slot, target.process.pid);
             tracing::debug!(%instance, pid, ?action, "command issued");
         }
     }
@@ -114,7 +114,7 @@
     }
 
     fn reload_process(&mut self, process: ProcessId, generation: Generation) {
-        let slot = self.processes.get(&process).map(|target| target.mark.slot.clone());
+        let slot = self.processes.get(&process).map(|target| target.identity.slot.clone());
         let Some(slot) = slot else { return };
         match self.write_configuration(&slot, generation) {
             Ok(_) => self.signal(process, Signal::HUP),
@@ -143,10 +143,10 @@
             .find(|listener| listener.slot == slot && listener.requested == configuration.requested)
             .ok_or(InstanceError::NoListener)?;
         let listener = listener.socket.try_clone().map_err(InstanceError::Start)?;
-        let mark = InstanceMark { slot: slot.to_owned(), generation, program_id };
+        let identity = InstanceIdentity { slot: slot.to_owned(), generation, program_id };
         let process = Process::start(StartOptions {
             state_directory: self.directory.path(),
-            mark: mark.clone(),
+            identity: identity.clone(),
             program: &self.directory.program(program_id),
             configuration: &configuration.path,
             status_socket: &self.directory.file(super::STATUS_SOCKET_NAME),
@@ -155,15 +155,20 @@
         });
         let process = process.map_err(InstanceError::Start)?;
         tracing::info!(instance = slot, generation, pid = process.pid, "instance started");
-        self.add_process(mark, process, Origin::Started);
+        self.add_process(identity, process, ProcessOrigin::Started);
         Ok(())
     }
 
-    /// Takes a process in that was started or adopted.
-    pub(super) fn add_process(&mut self, mark: InstanceMark, process: Process, origin: Origin) {
+    /// Adds a process that was started or adopted to the known processes.
+    pub(super) fn add_process(
+        &mut self,
+        identity: InstanceIdentity,
+        process: Process,
+        origin: ProcessOrigin,
+    ) {
         self.last_process_id += 1;
         let id = ProcessId(self.last_process_id);
-        let process = InstanceProcess::new(mark, process, self.now(), origin);
+        let process = InstanceProcess::new(identity, process, self.now(), origin);
         self.processes.insert(id, process);
     }
 }
--- a/crates/fleet/src/daemon/adoption.rs
+++ b/crates/fleet/src/daemon/adoption.rs
@@ -1,5 +1,5 @@
-//! Takes over what an earlier daemon has left: its state, the socket holder's listeners and the
-//! running instances.
+//! Takes over from a previous daemon: its state, the listeners in the socket holder and the running
+//! instances.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use super::Daemon;
 use super::error::DaemonError;
 use super::event::FleetEvent;
-use super::instance::Origin;
+use super::instance::ProcessOrigin;
 use super::listeners::Listener;
 use crate::check::CheckFiles;
 use crate::control::RequestError;
@@ -19,20 +19,21 @@
 use crate::state::Revision;
 
 impl Daemon {
-    /// Takes over what an earlier daemon has left, and reads the desired state.
-    pub(super) fn begin(&mut self) -> Result<(), DaemonError> {
+    /// Takes over from a previous daemon. If there is no stored state, reads the desired state from its
+    /// file.
+    pub(super) fn initialize(&mut self) -> Result<(), DaemonError> {
         self.connect_socket_holder()?;
         if self.state.target == 0 {
-            self.make_first_revision()?;
+            self.create_first_revision()?;
         } else {
-            self.take_over_state();
+            self.resume_stored_state();
         }
         self.apply_policy();
         self.adopt_instances();
         Ok(())
     }
 
-    fn make_first_revision(&mut self) -> Result<(), RequestError> {
+    fn create_first_revision(&mut self) -> Result<(), RequestError> {
         let spec = Spec::read(&self.file)?;
         let program_id = self.import_program(&spec.program)?;
         let files = CheckFiles::write(&self.directory, &spec)?;
@@ -47,12 +48,12 @@
         Ok(())
     }
 
-    /// Goes on with the stored state, and rolls out what the file says if that has changed.
-    fn take_over_state(&mut self) {
+    /// Continues with the stored state, and rolls out the desired state in the file if that has changed.
+    fn resume_stored_state(&mut self) {
         let target = self.state.target;
         self.record(&Subject::Generation(target), &FleetEvent::TakenOver);
-        // The file is compared with what it said before: compared with what runs, one that is older
-        // than an upgrade would undo it.
+        // The file is compared with its own content when it was last read, not with the target: a file
+        // that is older than an upgrade would otherwise undo the upgrade.
         let file_changed = Spec::read(&self.file)
             .is_ok_and(|spec| self.state.spec_from_file.as_ref() != Some(&spec));
         if self.state.target == self.state.stable && file_changed {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Connects to the socket holder, takes its listeners and gives it those that it lacks.
+    /// Connects to the socket holder, receives its listeners and sends it those that it lacks.
     fn connect_socket_holder(&mut self) -> Result<(), DaemonError> {
         let path = self.directory.file("holder.sock");
         let (holder, kept) = SocketHolder::open(&path).map_err(DaemonError::SocketHolder)?;
@@ -79,14 +80,14 @@
         Ok(())
     }
 
-    /// Removes processes that have ended, and replaces the socket holder if it has.
-    pub(super) fn remove_ended(&mut self) {
+    /// Removes processes that have ended, and replaces the socket holder if it has ended.
+    pub(super) fn remove_ended_processes(&mut self) {
         let ids: Vec<ProcessId> = self.processes.keys().copied().collect();
         let ended = poll_ended(self.processes.values().map(|process| &process.process));
         for (id, _) in ids.into_iter().zip(ended).filter(|(_, ended)| *ended) {
             if let Some(mut ended) = self.processes.remove(&id) {
                 let exit = ended.process.reap();
-                let (instance, pid) = (&ended.mark.slot, ended.process.pid);
+                let (instance, pid) = (&ended.identity.slot, ended.process.pid);
                 tracing::info!(%instance, pid, %exit, "process ended");
             }
         }
@@ -99,33 +100,34 @@
         }
     }
 
-    /// Adopts instances that run already.
+    /// Adopts running instances that this daemon does not know.
     pub(super) fn adopt_instances(&mut self) {
         let known: BTreeSet<u32> =
             self.processes.values().map(|process| process.process.pid).collect();
-        for (mark, process) in find_instances(self.directory.path()) {
+        for (identity, process) in find_instances(self.directory.path()) {
             if !known.contains(&process.pid) {
-                tracing::info!(instance = %mark.slot, pid = process.pid, "instance adopted");
-                self.recover_listener(&mark.slot, &process);
-                self.add_process(mark, process, Origin::Adopted);
+                tracing::info!(instance = %identity.slot, pid = process.pid, "instance adopted");
+                self.recover_listener(&identity.slot, &process);
+                self.add_process(identity, process, ProcessOrigin::Adopted);
             }
         }
     }
 
-    /// Where daemon and socket holder have ended together, a running instance has the only listener.
+    /// Copies the listener of an adopted instance if the daemon has none for its slot. That happens when
+    /// daemon and socket holder ended together, which leaves the instance with the only descriptor.
     fn recover_listener(&mut self, slot: &str, process: &Process) {
         if self.listeners.values().any(|listener| listener.slot == slot) {
             return;
         }
         let Some(socket) = process.listener() else { return };
         let Ok(address) = socket.local_addr() else { return };
-        let fits = |requested: &SocketAddr| {
+        let matches_address = |requested: &SocketAddr| {
             *requested == address || (requested.port() == 0 && requested.ip() == address.ip())
         };
         let requested = [self.state.target, self.state.stable]
             .iter()
             .filter_map(|generation| self.state.revisions.get(generation)?.spec.listen(slot))
-            .find(fits);
+            .find(matches_address);
         if let Some(requested) = requested {
             let slot = slot.to_owned();
             self.add_listener(Listener { slot, requested, address, socket });
@@ -133,7 +135,7 @@
     }
 }
 
-/// A listener from the name that the socket holder has for it.
+/// Parses the name that the socket holder has for a listener.
 fn decode_listener(name: &str, socket: TcpListener) -> Option<Listener> {
     let (slot, requested) = name.rsplit_once('|')?;
     let (requested, address) = (requested.parse().ok()?, socket.local_addr().ok()?);
--- a/crates/fleet/src/daemon/error.rs
+++ b/crates/fleet/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon cannot begin, and why it cannot start or reload an instance.
+//! Errors of the start of the daemon, and of starting or reloading an instance.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,27 +10,27 @@
 use crate::state_directory::StateError;
 use runtime::signals::SignalError;
 
-/// The daemon cannot begin.
+/// The daemon cannot start.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// Its state directory cannot be used.
+    /// The state directory cannot be used.
     #[error(transparent)]
     State(#[from] StateError),
-    /// A signal cannot be handled.
+    /// A signal handler cannot be registered.
     #[error(transparent)]
     Signal(#[from] SignalError),
-    /// One of its sockets cannot be bound.
+    /// A socket of the daemon cannot be bound.
     #[error("{}: {source}", path.display())]
     Bind {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The process that keeps the listeners cannot be reached or started.
-    #[error("the holder of listeners: {0}")]
+    /// The socket holder cannot be reached or started.
+    #[error("socket holder: {0}")]
     SocketHolder(#[source] io::Error),
-    /// The first desired state cannot be used.
+    /// The first revision cannot be created from the desired state.
     #[error(transparent)]
     FirstRevision(#[from] RequestError),
 }
@@ -38,11 +38,11 @@
 /// An instance cannot be started or reloaded.
 #[derive(Debug, Error)]
 pub(super) enum InstanceError {
-    #[error("its generation is not known")]
+    #[error("the generation of the instance is unknown")]
     UnknownGeneration,
-    #[error("its generation does not have it")]
+    #[error("the generation does not contain the instance")]
     NotInGeneration,
-    #[error("it has no listener")]
+    #[error("the instance has no listener")]
     NoListener,
     #[error("{address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
--- a/crates/fleet/src/daemon/event.rs
+++ b/crates/fleet/src/daemon/event.rs
@@ -1,4 +1,4 @@
-//! Events that operators find in the history and in the log.
+//! Events for operators, which appear in the history and in the log.
 
 use thiserror::Error;
 
@@ -10,7 +10,7 @@
 pub(super) enum FleetEvent {
     #[error("is the first")]
     FirstGeneration,
-    #[error("is taken over from a daemon before this one")]
+    #[error("is taken over from a previous daemon")]
     TakenOver,
     #[error("is to follow {previous}")]
     RolloutBegun { previous: Generation },
@@ -26,9 +26,9 @@
     RestartRequested,
     #[error("{template}: {count} instances")]
     Scaled { template: String, count: usize },
-    #[error("the fleet stops")]
+    #[error("the fleet is shutting down")]
     ShutdownBegun,
-    #[error("the holder of listeners is gone; another takes its place")]
+    #[error("the socket holder is gone; another takes its place")]
     SocketHolderEnded,
     #[error("{0}")]
     Planner(PlannerEvent),
@@ -52,7 +52,7 @@
             }
         };
         self.state.record(text);
-        // A failure is logged and shown, and the state is stored at a later tick.
+        // A failure is logged and shown in the status, and the state is stored at a later tick.
         let _ = self.persist();
     }
 }
--- a/crates/fleet/src/daemon/instance.rs
+++ b/crates/fleet/src/daemon/instance.rs
@@ -1,76 +1,79 @@
-//! One process of an instance, as the daemon knows it from its status reports.
+//! A process of an instance, with the state known from its status reports.
 
 use std::time::Duration;
 
 use instance_status::InstanceStatus;
 
 use crate::planner::{Generation, ObservedProcess, ProcessId, RequestTotals};
-use crate::process::{InstanceMark, Process};
+use crate::process::{InstanceIdentity, Process};
 use crate::stall::{SchedulerSample, Stall, StallDetector};
 
-/// A sidecar reports twice a second. One that has not for so long is observed for stalls.
+/// The time without a report after which a process is sampled for stalls. A sidecar reports twice a
+/// second.
 const SILENCE_BEFORE_SAMPLING: Duration = Duration::from_millis(550);
 
 /// Whether this daemon started a process or found it running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Origin {
+pub(super) enum ProcessOrigin {
     Started,
     Adopted,
 }
 
 /// A running process of an instance. Times are since the daemon's start.
 pub(super) struct InstanceProcess {
-    pub(super) mark: InstanceMark,
+    pub(super) identity: InstanceIdentity,
     pub(super) process: Process,
-    /// Its last report.
+    /// The last report, or `None` before the first.
     pub(super) status: Option<InstanceStatus>,
     pub(super) started_at: Duration,
     pub(super) last_report_at: Duration,
-    /// It was adopted and has not reported since.
+    /// Whether it was adopted and has not reported since.
     awaiting_report: bool,
     pub(super) restart_requested: bool,
-    /// Set while it is silent.
+    /// Present while reports are overdue.
     stall_detector: Option<StallDetector>,
+    /// The stall that was detected since the last report.
     stall: Option<Stall>,
 }
 
 impl InstanceProcess {
-    /// A process that was started or adopted at `now`.
+    /// Creates the state of a process that was started or adopted at `now`.
     pub(super) fn new(
-        mark: InstanceMark,
+        identity: InstanceIdentity,
         process: Process,
         now: Duration,
-        origin: Origin,
+        origin: ProcessOrigin,
     ) -> InstanceProcess {
         InstanceProcess {
-            mark,
+            identity,
             process,
             status: None,
             started_at: now,
             last_report_at: now,
-            awaiting_report: origin == Origin::Adopted,
+            awaiting_report: origin == ProcessOrigin::Adopted,
             restart_requested: false,
             stall_detector: None,
             stall: None,
         }
     }
 
-    /// Whether it reports that it serves.
+    /// Whether the process reports that it is ready to serve.
     pub(super) fn is_ready(&self) -> bool {
         self.status.as_ref().is_some_and(|status| status.ready)
     }
 
-    /// Whether it reports that it only completes the requests that it has.
+    /// Whether the process reports that it is draining.
     pub(super) fn is_draining(&self) -> bool {
         self.status.as_ref().is_some_and(|status| status.draining)
     }
 
-    /// What it runs by its own report; before the first report, what it was started with.
+    /// Returns the generation that the process reports; before the first report, the one that it was
+    /// started with.
     pub(super) fn generation(&self) -> Generation {
-        self.status.as_ref().map_or(self.mark.generation, |status| status.generation)
+        self.status.as_ref().map_or(self.identity.generation, |status| status.generation)
     }
 
-    /// Takes in a report; whether it tells more than that the process lives.
+    /// Stores a report. Returns whether it changes anything that the planner acts on.
     pub(super) fn update(&mut self, now: Duration, status: InstanceStatus) -> bool {
         self.last_report_at = now;
         self.awaiting_report = false;
@@ -85,7 +88,7 @@
         changed
     }
 
-    /// Samples the process if it is silent.
+    /// Samples the process for stalls if its reports are overdue.
     pub(super) fn detect_stall(&mut self, now: Duration) {
         let silent_for = now.saturating_sub(self.last_report_at);
         if !self.is_ready() || silent_for < SILENCE_BEFORE_SAMPLING {
@@ -97,13 +100,13 @@
         let Some(stall) = detector.observe(now, sample) else { return };
         if self.stall.is_none() {
             let silent_ms = silent_for.as_millis() as u64;
-            let (instance, pid) = (&self.mark.slot, self.process.pid);
+            let (instance, pid) = (&self.identity.slot, self.process.pid);
             tracing::warn!(%instance, pid, ?stall, silent_ms, "instance is stalled");
         }
         self.stall = Some(stall);
     }
 
-    /// What the planner is to know of it.
+    /// Returns the planner's view of the process.
     pub(super) fn observed(&self, id: ProcessId) -> ObservedProcess {
         let status = self.status.as_ref();
         let rejected = status.and_then(|status| status.rejected_config.as_ref());
@@ -114,9 +117,9 @@
         });
         ObservedProcess {
             id,
-            slot: self.mark.slot.clone(),
+            slot: self.identity.slot.clone(),
             generation: self.generation(),
-            program_id: self.mark.program_id,
+            program_id: self.identity.program_id,
             started_at: self.started_at,
             last_report_at: self.last_report_at,
             ready: self.is_ready(),
--- a/crates/fleet/src/daemon/listeners.rs
+++ b/crates/fleet/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of all slots, and the configurations that name them.
+//! The listeners of all slots, and the configuration files that contain their addresses.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -15,52 +15,52 @@
 use crate::planner::{DesiredState, Generation};
 use crate::state::Revision;
 
-/// Connections that may wait while an instance is replaced.
+/// The backlog of a listener: connections that wait to be accepted while an instance is replaced.
 const BACKLOG: i32 = 4096;
 
-/// A listener of a slot.
+/// The listener of a slot.
 pub(super) struct Listener {
     pub(super) slot: String,
-    /// The address that the desired state names; its port may be 0.
+    /// The address in the desired state; its port may be 0.
     pub(super) requested: SocketAddr,
-    /// The address that it listens on.
+    /// The address that the socket is bound to.
     pub(super) address: SocketAddr,
     pub(super) socket: TcpListener,
 }
 
-/// A slot that cannot be started.
+/// The reason why a slot cannot be started for now.
 pub(super) struct BlockedSlot {
     pub(super) reason: String,
-    /// Since the daemon's start.
+    /// The time of the failure, since the daemon's start.
     pub(super) since: Duration,
 }
 
-/// A configuration that was written for a slot.
+/// A configuration file that was written for a slot.
 pub(super) struct WrittenConfiguration {
     pub(super) path: PathBuf,
-    /// The address that the desired state names.
+    /// The address in the desired state.
     pub(super) requested: SocketAddr,
 }
 
-/// The name by which the socket holder and the daemon know a listener.
+/// Returns the name of a listener in the daemon and in the socket holder.
 pub(super) fn listener_name(slot: &str, requested: SocketAddr) -> String {
     format!("{slot}|{requested}")
 }
 
 impl Daemon {
-    /// Adds a listener, and gives the socket holder a copy.
+    /// Adds a listener, and sends a copy to the socket holder.
     pub(super) fn add_listener(&mut self, listener: Listener) {
         let name = listener_name(&listener.slot, listener.requested);
         if let Some(holder) = &self.socket_holder
             && let Err(error) = holder.keep(&name, listener.socket.as_fd())
         {
             let instance = &listener.slot;
-            tracing::warn!(%instance, %error, "socket holder did not take a listener");
+            tracing::warn!(%instance, %error, "failed to send listener to socket holder");
         }
         self.listeners.insert(name, listener);
     }
 
-    /// Writes a slot's configuration.
+    /// Writes the configuration file of a slot. Binds the slot's listener first if there is none.
     pub(super) fn write_configuration(
         &mut self,
         slot: &str,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Binds a listener. A slot whose address cannot be bound is blocked for a while.
+    /// Binds the listener of a slot. If that fails, the slot is blocked for `BIND_RETRY_INTERVAL`.
     fn listen(&mut self, slot: &str, requested: SocketAddr) -> Result<SocketAddr, InstanceError> {
         let bound = bind(requested).and_then(|socket| Ok((socket.local_addr()?, socket)));
         let (address, socket) = match bound {
@@ -100,14 +100,14 @@
         Ok(address)
     }
 
-    /// Closes listeners that no generation wants and no process has.
+    /// Closes listeners that neither generation needs and whose slot has no process.
     pub(super) fn close_unused_listeners(&mut self, desired: &DesiredState) {
         let used: BTreeSet<&str> =
-            self.processes.values().map(|process| process.mark.slot.as_str()).collect();
+            self.processes.values().map(|process| process.identity.slot.as_str()).collect();
         let revision = |generation| self.state.revisions.get(&generation);
         let revisions: Vec<&Revision> =
             [desired.target, desired.stable].into_iter().filter_map(revision).collect();
-        let is_wanted = |listener: &Listener| {
+        let is_needed = |listener: &Listener| {
             let slot = &listener.slot;
             let is_desired = desired.slots.contains(slot) || desired.removed_slots.contains(slot);
             let is_specified = revisions
@@ -115,7 +115,7 @@
                 .any(|revision| revision.spec.listen(slot) == Some(listener.requested));
             used.contains(slot.as_str()) || (is_desired && is_specified)
         };
-        let unused = self.listeners.iter().filter(|(_, listener)| !is_wanted(listener));
+        let unused = self.listeners.iter().filter(|(_, listener)| !is_needed(listener));
         let unused: Vec<String> = unused.map(|(name, _)| name.clone()).collect();
         for name in unused {
             if let Some(holder) = &self.socket_holder {
--- a/crates/fleet/src/daemon/mod.rs
+++ b/crates/fleet/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! The daemon's event loop: gathers facts, asks the planner and carries out what it decides.
+//! The event loop of the daemon. It collects status reports, signals and requests, passes the observed
+//! state to the planner and carries out its actions.
 
 mod actions;
 mod adoption;
@@ -34,36 +35,37 @@
 
 pub use error::DaemonError;
 
-/// Between two reconciliations when nothing happens.
+/// The interval of reconciliations when there are no events.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two heartbeats to the daemon's own supervisor.
+/// The interval of heartbeats to the daemon's own supervisor.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Instances that an earlier daemon was just starting are looked for again after so long.
-const LATE_ADOPTIONS: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(5)];
-/// Requests of operators that may wait for the event loop.
+/// The times since the daemon's start at which it looks for instances again. A previous daemon may
+/// just have started some that could not be identified yet.
+const LATE_ADOPTION_TIMES: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(5)];
+/// The number of requests of operators that may wait for the event loop.
 const REQUEST_QUEUE_LENGTH: usize = 16;
-/// The socket, in the state directory, to which instances send their status.
+/// The name, in the state directory, of the socket to which instances send their status.
 const STATUS_SOCKET_NAME: &str = "notify.sock";
 
 struct Daemon {
-    /// Times are since this instant.
+    /// The daemon's start, from which all times are measured.
     clock: Instant,
-    /// The file of the desired state.
+    /// The path of `fleet.toml`.
     file: PathBuf,
     directory: StateDirectory,
     state: PersistentState,
     planner: Planner,
     socket_holder: Option<SocketHolder>,
-    /// By the names that the socket holder has for them.
+    /// The listeners by the names that the socket holder has for them.
     listeners: BTreeMap<String, Listener>,
     processes: BTreeMap<ProcessId, InstanceProcess>,
     last_process_id: u64,
     blocked_slots: BTreeMap<String, BlockedSlot>,
-    /// What keeps the daemon itself from its work.
+    /// The last error of the daemon itself, for the status. It is cleared when the state is stored.
     fault: Option<String>,
-    /// The state in memory is not known to be the stored one.
+    /// Whether the state in memory may differ from the stored one.
     unsaved: bool,
-    /// A candidate is being checked.
+    /// Whether a candidate for the target is being checked.
     checking: bool,
     shutdown: Option<Shutdown>,
     supervisor: Option<SupervisorSocket>,
@@ -75,7 +77,7 @@
 /// The signals that the daemon handles.
 const SIGNALS: [Signal; 4] = [Signal::Child, Signal::HangUp, Signal::Terminate, Signal::Interrupt];
 
-/// All that the event loop waits for, beside its timer.
+/// The events that the event loop waits for, beside its timer.
 struct EventSources {
     signals: SignalReceiver,
     status_socket: UnixDatagram,
@@ -83,13 +85,13 @@
     check_outcomes: mpsc::UnboundedReceiver<CheckOutcome>,
 }
 
-/// Runs the daemon on the desired state in `file`, with its own state in `state_directory`, until it
-/// is told to stop and all instances have ended. `log_environment` are variables that make instances
-/// log like the daemon.
+/// Runs the daemon until it is told to stop and all instances have ended. The desired state is read
+/// from `file`, and the daemon's own state is kept in `state_directory`. `log_environment` has the
+/// environment variables that make instances log like the daemon.
 ///
 /// # Errors
 ///
-/// When it cannot begin.
+/// When the daemon cannot start.
 ///
 /// # Panics
 ///
@@ -105,7 +107,7 @@
     let signals = SignalReceiver::register(&SIGNALS)?;
     let (sender, check_outcomes) = mpsc::unbounded_channel();
     let mut daemon = Daemon::new(clock, file, directory, log_environment, sender)?;
-    daemon.begin()?;
+    daemon.initialize()?;
     let status_socket = daemon.bind_status_socket()?;
     let requests = daemon.serve_operators()?;
     daemon.notify_supervisor("READY=1");
@@ -116,8 +118,8 @@
     Ok(())
 }
 
-/// Each of a thousand instances needs two listeners, a pidfd and its copy: more than the soft limit
-/// of most hosts.
+/// Raises the soft limit of file descriptors to the hard limit. Each of a thousand instances needs two
+/// listeners, a pidfd and its copy, which is more than the soft limit of most hosts.
 fn raise_descriptor_limit() {
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
@@ -180,19 +182,19 @@
         }
     }
 
-    /// Handles events until a shutdown is complete.
+    /// Handles events until the shutdown of the fleet is complete.
     async fn handle_events(&mut self, mut sources: EventSources) {
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
-        let mut late_adoptions = LATE_ADOPTIONS.into_iter().peekable();
+        let mut late_adoptions = LATE_ADOPTION_TIMES.into_iter().peekable();
         let EventSources { signals, status_socket, requests, check_outcomes } = &mut sources;
         loop {
             tokio::select! {
                 _ = tick.tick() => self.handle_tick(status_socket),
                 signal = signals.next() => self.handle_signal(signal),
                 Ok(length) = status_socket.recv(&mut datagram) => {
-                    // Many reports come at once, and few of them change what is to be done.
+                    // Reports arrive in large numbers, and few of them require a reconciliation.
                     let first_changed = self.receive_status(&datagram[..length]);
                     let others_changed = self.receive_statuses(status_socket);
                     if !first_changed && !others_changed {
@@ -214,8 +216,8 @@
 
     fn handle_signal(&mut self, signal: Signal) {
         match signal {
-            // An adopted process is no child: its end shows at the next tick.
-            Signal::Child => self.remove_ended(),
+            // An adopted process is not a child; its exit is noticed at the next tick.
+            Signal::Child => self.remove_ended_processes(),
             Signal::HangUp => self.reload(None),
             Signal::Terminate | Signal::Interrupt => self.begin_shutdown(),
             Signal::UserDefined2 => {}
@@ -224,13 +226,13 @@
 
     fn handle_tick(&mut self, status_socket: &UnixDatagram) {
         self.send_heartbeat();
-        self.remove_ended();
+        self.remove_ended_processes();
         if self.unsaved {
-            // A failure is logged and shown.
+            // A failure is logged and shown in the status.
             let _ = self.persist();
         }
-        // A daemon that was kept from running has unread reports, and whoever sent them is not
-        // silent.
+        // If the daemon itself got no processor time, reports are unread, and the processes that sent
+        // them are not silent.
         self.receive_statuses(status_socket);
         let now = self.now();
         for process in self.processes.values_mut() {
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Reads all waiting reports; whether one of them changes what is to be done.
+    /// Reads all waiting reports. Returns whether one of them requires a reconciliation.
     fn receive_statuses(&mut self, status_socket: &UnixDatagram) -> bool {
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
         let mut changed = false;
@@ -248,8 +250,8 @@
         changed
     }
 
-    /// Takes in a report; whether it tells more than that its process lives. Reports of processes
-    /// that are no instances are ignored.
+    /// Stores a report. Returns whether it requires a reconciliation. Reports of processes that are not
+    /// instances are ignored.
     fn receive_status(&mut self, datagram: &[u8]) -> bool {
         let Some(status) = InstanceStatus::from_datagram(datagram) else { return false };
         let now = self.now();
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Tells the supervisor from time to time that the event loop runs.
+    /// Sends the supervisor a heartbeat if one is due.
     fn send_heartbeat(&mut self) {
         let now = self.now();
         if now.saturating_sub(self.last_heartbeat_at) >= HEARTBEAT_INTERVAL {
@@ -274,8 +276,7 @@
         }
     }
 
-    /// Stores the state. A failure is logged and shown in the status, and the state is stored at a
-    /// later tick.
+    /// Stores the state. A failure is logged and shown in the status, and the next tick tries again.
     fn persist(&mut self) -> io::Result<()> {
         let result = self.directory.store(&self.state);
         self.unsaved = result.is_err();
@@ -287,7 +288,7 @@
         result
     }
 
-    /// Begins a graceful shutdown; asked for again, an immediate one.
+    /// Begins a graceful shutdown, or an immediate one if a shutdown has already begun.
     fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             self.shutdown = Some(Shutdown::Immediate);
@@ -296,7 +297,8 @@
         self.shutdown = Some(Shutdown::Graceful);
         self.notify_supervisor("STOPPING=1");
         self.record(&Subject::Fleet, &FleetEvent::ShutdownBegun);
-        // Connections that come from now on are the instances' to accept, as long as they do.
+        // From now on only the instances have the listeners. New connections are accepted as long as
+        // they accept them, and refused afterwards.
         self.listeners.clear();
         if let Some(holder) = self.socket_holder.take() {
             holder.quit();
--- a/crates/fleet/src/daemon/requests.rs
+++ b/crates/fleet/src/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what operators ask for on the control socket.
+//! Handles the requests of operators from the control socket.
 
 use super::Daemon;
 use super::event::FleetEvent;
@@ -6,7 +6,8 @@
 use crate::planner::Subject;
 
 impl Daemon {
-    /// Carries out one request, or begins to.
+    /// Carries out a request and replies. A reload or an upgrade is only begun, and replied to once it
+    /// was checked.
     pub(super) fn handle_request(&mut self, pending: PendingRequest) {
         let PendingRequest { request, reply } = pending;
         let result = match request {
@@ -38,21 +39,21 @@
         Ok(Response::Drained { slot })
     }
 
-    /// Restarts one instance, or all.
+    /// Restarts one instance, or all instances if no slot is given.
     fn restart(&mut self, slot: Option<String>) -> Result<Response, RequestError> {
         if let Some(slot) = &slot {
             self.ensure_known(slot)?;
         }
-        let is_concerned = |name: &str| slot.as_deref().is_none_or(|slot| slot == name);
+        let is_selected = |name: &str| slot.as_deref().is_none_or(|slot| slot == name);
         let mut processes = 0;
         for process in self.processes.values_mut() {
-            if is_concerned(&process.mark.slot) {
+            if is_selected(&process.identity.slot) {
                 process.restart_requested = true;
                 processes += 1;
             }
         }
-        self.state.drained_slots.retain(|drained| !is_concerned(drained));
-        for name in self.desired_state().slots.iter().filter(|name| is_concerned(name)) {
+        self.state.drained_slots.retain(|drained| !is_selected(drained));
+        for name in self.desired_state().slots.iter().filter(|name| is_selected(name)) {
             self.planner.reset_failures(name);
         }
         let subject = slot.map_or(Subject::Fleet, Subject::Slot);
@@ -60,7 +61,7 @@
         Ok(Response::Restarted { processes })
     }
 
-    /// Changes the number of a template's instances, until the next reload.
+    /// Changes the number of instances of a template, until the next reload.
     fn scale(&mut self, name: String, count: usize) -> Result<Response, RequestError> {
         let target = self.state.target_revision();
         let template =
--- a/crates/fleet/src/daemon/rollout.rs
+++ b/crates/fleet/src/daemon/rollout.rs
@@ -1,4 +1,5 @@
-//! New revisions: read, checked by the program that is to run, rolled out and undone.
+//! New revisions: they are read, checked by the program that would run them, rolled out and rolled
+//! back.
 
 use std::path::{Path, PathBuf};
 
@@ -10,23 +11,23 @@
 use crate::spec::Spec;
 use crate::state::Revision;
 
-/// Where a desired state comes from.
+/// The source of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// `fleet.toml`.
+    /// The desired state in `fleet.toml`.
     File,
-    /// What runs already, with another program.
+    /// The desired state of the target, with another program.
     Upgrade,
 }
 
-/// A desired state that may become the target.
+/// A desired state and program that become the target if a check accepts them.
 pub(super) struct Candidate {
     spec: Spec,
     program_id: ProgramId,
     source: Source,
 }
 
-/// The outcome of a check.
+/// The outcome of the check of a candidate.
 pub(super) struct CheckOutcome {
     candidate: Candidate,
     result: Result<(), CheckError>,
@@ -34,27 +35,27 @@
 }
 
 impl Daemon {
-    /// Notifies the supervisor that a reload begins (sd_notify(3) wants the monotonic time, too).
+    /// Notifies the supervisor that a reload begins. sd_notify(3) also requires the monotonic time.
     fn notify_reloading(&self) {
         let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
         let microseconds = now.tv_sec * 1_000_000 + now.tv_nsec / 1000;
         self.notify_supervisor(&format!("RELOADING=1\nMONOTONIC_USEC={microseconds}"));
     }
 
-    /// Reads `fleet.toml`, and rolls it out if it is sound and has changed.
+    /// Reads `fleet.toml`, and rolls it out if it is valid and has changed.
     pub(super) fn reload(&mut self, reply: Option<Reply>) {
         let candidate = self.candidate_from_file();
         self.check_and_roll_out(candidate, reply);
     }
 
-    /// Reads a program again, or another one, and rolls it out if it has changed.
+    /// Reads the program of the target again, or another one, and rolls it out if it has changed.
     pub(super) fn upgrade(&mut self, program: Option<PathBuf>, reply: Reply) {
         let candidate = self.candidate_for_upgrade(program);
         self.check_and_roll_out(candidate, Some(reply));
     }
 
     fn candidate_from_file(&mut self) -> Result<Candidate, RequestError> {
-        self.ensure_changeable()?;
+        self.ensure_can_roll_out()?;
         let spec = Spec::read(&self.file)?;
         let target = self.state.target_revision();
         let same_program = target.filter(|revision| revision.spec.program == spec.program);
@@ -69,7 +70,7 @@
         &mut self,
         program: Option<PathBuf>,
     ) -> Result<Candidate, RequestError> {
-        self.ensure_changeable()?;
+        self.ensure_can_roll_out()?;
         let target = self.state.target_revision().ok_or(RequestError::NothingRuns)?;
         let mut spec = target.spec.clone();
         if let Some(program) = program {
@@ -79,8 +80,8 @@
         Ok(Candidate { spec, program_id, source: Source::Upgrade })
     }
 
-    /// An error unless a new revision may be rolled out now.
-    fn ensure_changeable(&self) -> Result<(), RequestError> {
+    /// Fails unless a new revision may be rolled out now.
+    fn ensure_can_roll_out(&self) -> Result<(), RequestError> {
         if self.shutdown.is_some() {
             return Err(RequestError::ShuttingDown);
         }
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Copies a program into the state directory.
+    /// Copies a program into the state directory. Returns the number of the copy.
     pub(super) fn import_program(&mut self, path: &Path) -> Result<ProgramId, RequestError> {
         let known: Vec<ProgramId> =
             self.state.revisions.values().map(|revision| revision.program_id).collect();
@@ -104,7 +105,8 @@
             .map_err(|source| RequestError::ImportProgram { path: path.to_owned(), source })
     }
 
-    /// Lets the program check what it would get, beside the event loop.
+    /// Has the program check its configurations, without blocking the event loop. A candidate that
+    /// equals the target is not checked.
     fn check_and_roll_out(
         &mut self,
         candidate: Result<Candidate, RequestError>,
@@ -115,7 +117,7 @@
             Ok(candidate) => candidate,
             Err(error) => return self.respond(reply, Err(error)),
         };
-        if self.runs_already(&candidate) {
+        if self.equals_target(&candidate) {
             self.notify_supervisor("READY=1");
             let generation = self.state.target;
             return self.respond(reply, Ok(Response::RolloutBegun { generation, changed: false }));
@@ -132,7 +134,7 @@
         });
     }
 
-    fn runs_already(&self, candidate: &Candidate) -> bool {
+    fn equals_target(&self, candidate: &Candidate) -> bool {
         self.state.target_revision().is_some_and(|target| {
             target.spec == candidate.spec
                 && target.program_id == candidate.program_id
@@ -140,7 +142,8 @@
         })
     }
 
-    /// Records a request that was rejected, and answers whoever sent it.
+    /// Sends the result of a request to the client that waits for it, if any. A rejection is recorded
+    /// as an event.
     fn respond(&mut self, reply: Option<Reply>, result: Result<Response, RequestError>) {
         if let Err(error) = &result {
             let event = FleetEvent::RequestRejected { reason: error.to_string() };
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Begins the rollout of a candidate that was accepted.
+    /// Begins the rollout of a checked candidate if the check accepted it, and replies.
     pub(super) fn finish_check(&mut self, outcome: CheckOutcome) {
         self.checking = false;
         let CheckOutcome { candidate, result, reply } = outcome;
@@ -175,7 +178,7 @@
         self.state.revisions.insert(generation, Revision::new(spec, program_id));
         self.state.target = generation;
         if let Err(error) = self.persist() {
-            // The next daemon would not know of a rollout that is not stored.
+            // A rollout that is not stored would be unknown to the next daemon.
             self.state.target = previous;
             self.state.spec_from_file = previous_file;
             self.state.revisions.remove(&generation);
@@ -187,7 +190,7 @@
         Ok(Response::RolloutBegun { generation, changed: true })
     }
 
-    /// Undoes the rollout that runs, because operators asked for it.
+    /// Undoes the current rollout at the request of an operator.
     pub(super) fn roll_back(&mut self) -> Result<Response, RequestError> {
         let (target, stable) = (self.state.target, self.state.stable);
         if target == stable {
@@ -202,13 +205,13 @@
         let (target, stable) = (self.state.target, self.state.stable);
         let is_needed = |generation: &Generation| *generation == target || *generation == stable;
         self.state.revisions.retain(|generation, _| is_needed(generation));
-        // A failure is logged and shown, and the state is stored at a later tick.
+        // A failure is logged and shown in the status, and the state is stored at a later tick.
         let _ = self.persist();
         let needed = self.state.revisions.values().map(|revision| revision.program_id).collect();
         self.directory.remove_unused_programs(&needed);
     }
 
-    /// Runs the fleet by the target's limits and timeouts.
+    /// Sets the limits and timeouts of the target in the planner.
     pub(super) fn apply_policy(&mut self) {
         if let Some(revision) = self.state.target_revision() {
             self.planner.set_policy(revision.spec.policy());
--- a/crates/fleet/src/daemon/status.rs
+++ b/crates/fleet/src/daemon/status.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet, as operators see it.
+//! Builds the status of the fleet that operators see.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use crate::planner::{DesiredState, RestartState, RolloutProgress};
 
 impl Daemon {
-    /// The state of the fleet.
+    /// Returns the status of the fleet.
     pub(super) fn status(&self) -> FleetStatus {
         let (now, desired) = (self.now(), self.desired_state());
         let mut names: BTreeSet<&String> =
             desired.slots.iter().chain(&desired.removed_slots).collect();
         names.extend(&self.state.drained_slots);
-        names.extend(self.processes.values().map(|process| &process.mark.slot));
+        names.extend(self.processes.values().map(|process| &process.identity.slot));
         let slots = names.into_iter().map(|slot| self.slot_status(slot, now, &desired));
         let rollout = self.planner.rollout_progress().map(|progress| {
             let RolloutProgress { target, canaries, waves } = progress;
@@ -38,8 +38,8 @@
 
     fn slot_status(&self, slot: &str, now: Duration, desired: &DesiredState) -> SlotStatus {
         let mut processes: Vec<&InstanceProcess> =
-            self.processes.values().filter(|process| process.mark.slot == slot).collect();
-        // The one that clients meet comes first.
+            self.processes.values().filter(|process| process.identity.slot == slot).collect();
+        // The process that serves clients comes first.
         processes.sort_by_key(|process| {
             (process.is_draining(), !process.is_ready(), process.started_at)
         });
@@ -78,9 +78,9 @@
             return SlotState::Blocked;
         }
         if let Some(first) = processes.first() {
-            let staying = processes.iter().filter(|process| !process.is_draining()).count();
+            let remaining = processes.iter().filter(|process| !process.is_draining()).count();
             return match first {
-                _ if staying > 1 || (first.is_ready() && first.restart_requested) => {
+                _ if remaining > 1 || (first.is_ready() && first.restart_requested) => {
                     SlotState::Moving
                 }
                 _ if first.is_draining() => SlotState::Draining,
--- a/crates/fleet/src/process/mod.rs
+++ b/crates/fleet/src/process/mod.rs
@@ -1,5 +1,5 @@
-//! Processes: started, found again, observed and signalled. Each is held by a pidfd, so that a
-//! process that got the same pid later is never mistaken for it.
+//! Starts, finds, observes and signals processes. Each is referred to by a pidfd, so that another
+//! process that is given the same pid later is never mistaken for it.
 
 #[cfg(test)]
 mod tests;
@@ -25,95 +25,96 @@
 
 /// The descriptor of an instance's listener: the first of `LISTEN_FDS` (sd_listen_fds(3)).
 const LISTENER_DESCRIPTOR: i32 = 3;
-/// So much is read of what a child wrote to its error stream.
+/// The most bytes read of the standard error of a failed child.
 const MAX_ERROR_OUTPUT_BYTES: u64 = 4 << 10;
-/// The variable that marks instances: `state directory|slot|generation|program`.
-const MARK_VARIABLE: &str = "LB_FLEET";
-/// The former name of [`MARK_VARIABLE`]. Instances carry both and are found by either, so that
-/// daemons of either version adopt what the other one started.
-const FORMER_MARK_VARIABLE: &str = "PLANKVALE_FLEET";
-/// Makes the listener on standard input the first of `LISTEN_FDS`. `LISTEN_PID` has to be the
-/// instance's own pid, which is known only in the child: the shell sets it and becomes the program.
+/// The environment variable that identifies an instance: `state directory|slot|generation|program`.
+const IDENTITY_VARIABLE: &str = "LB_FLEET";
+/// The name of [`IDENTITY_VARIABLE`] in earlier versions. Instances have both variables and are found by
+/// either, so that daemons of either version adopt the instances that the other one started.
+const LEGACY_IDENTITY_VARIABLE: &str = "PLANKVALE_FLEET";
+/// Moves the listener from standard input to the first descriptor of `LISTEN_FDS`. `LISTEN_PID` must be
+/// the pid of the instance, which is known only in the child: the shell sets it and then executes the
+/// program in its place.
 const START_SCRIPT: &str = "exec 3<&0 0</dev/null; LISTEN_PID=$$ exec \"$0\"";
-/// For poll(2): do not wait.
+/// A timeout of zero for poll(2), which then returns at once.
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// One process.
+/// A process that is observed and signalled through a pidfd.
 pub struct Process {
-    /// Its pid, to tell operators. Signals are sent by the pidfd.
+    /// The pid, for logs and the status. Signals are sent by the pidfd.
     pub pid: u32,
     pidfd: OwnedFd,
-    /// Set if this daemon started it.
+    /// The child, or `None` if another daemon started the process or its exit was waited for.
     child: Option<Child>,
 }
 
-/// Identifies an instance's process to a daemon that did not start it.
+/// The identity of an instance's process. It is passed in the environment, where later daemons find it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InstanceMark {
-    /// Its slot.
+pub struct InstanceIdentity {
+    /// The slot that the process serves.
     pub slot: String,
-    /// What it was started with.
+    /// The generation that the process was started with.
     pub generation: Generation,
-    /// The copy of the program that it runs.
+    /// The copy of the program that the process runs.
     pub program_id: ProgramId,
 }
 
-impl InstanceMark {
+impl InstanceIdentity {
     fn encode(&self, state_directory: &Path) -> String {
         let directory = state_directory.display();
         format!("{directory}|{}|{}|{}", self.slot, self.generation, self.program_id)
     }
 
-    /// The mark in `text`, if it is of the given state directory.
-    fn decode(text: &str, state_directory: &Path) -> Option<InstanceMark> {
+    /// Parses an identity. Returns `None` if it is malformed or belongs to another state directory.
+    fn decode(text: &str, state_directory: &Path) -> Option<InstanceIdentity> {
         let rest = text.strip_prefix(state_directory.to_str()?)?.strip_prefix('|')?;
         let mut parts = rest.rsplitn(3, '|');
         let program_id = parts.next()?.parse().ok()?;
         let generation = parts.next()?.parse().ok()?;
-        Some(InstanceMark { slot: parts.next()?.to_owned(), generation, program_id })
+        Some(InstanceIdentity { slot: parts.next()?.to_owned(), generation, program_id })
     }
 }
 
-/// What an instance is started with.
+/// The parameters of the start of an instance.
 pub struct StartOptions<'a> {
-    /// The daemon's state directory.
+    /// The state directory of the daemon.
     pub state_directory: &'a Path,
-    /// Identifies it.
-    pub mark: InstanceMark,
-    /// The program.
+    /// The identity of the process.
+    pub identity: InstanceIdentity,
+    /// The program to execute.
     pub program: &'a Path,
-    /// Its configuration file.
+    /// The configuration file of the instance.
     pub configuration: &'a Path,
-    /// The socket to which it sends its status.
+    /// The socket to which the instance sends its status.
     pub status_socket: &'a Path,
-    /// Its listener.
+    /// The listener on which the instance accepts.
     pub listener: OwnedFd,
-    /// Variables that make it log like the daemon.
+    /// Environment variables that make the instance log like the daemon.
     pub log_environment: &'a [(&'static str, String)],
 }
 
-/// A child failed.
+/// The failure of a child.
 #[derive(Debug, Error)]
 pub enum ChildError {
-    /// Its outcome cannot be learned.
+    /// Waiting for the child failed, so its exit status is not known.
     #[error("{0}")]
     Wait(#[source] io::Error),
-    /// It failed, and wrote why.
+    /// The child failed and wrote this message to its standard error.
     #[error("{0}")]
     Reported(String),
-    /// It failed without a word.
-    #[error("the check {0}")]
+    /// The child failed and wrote no message.
+    #[error("the check failed with {0}")]
     Status(ExitStatus),
 }
 
-/// How a process ended, as far as it is known: only a parent learns more than that it did.
+/// The exit of a process. Only its parent gets the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReport {
-    /// With this status.
+    /// It exited with this status.
     Status(i32),
-    /// By this signal.
+    /// It was terminated by this signal.
     Signal(i32),
-    /// Not known.
+    /// It ended, and its status is not known.
     Unknown,
 }
 
@@ -128,13 +129,14 @@
 }
 
 impl Process {
-    /// Starts an instance. All descriptors of this daemon but the listener are closed in it.
+    /// Starts an instance. It inherits no descriptor of the daemon but the listener and the standard
+    /// error.
     ///
     /// # Errors
     ///
     /// When the system cannot start a process, or there is no shell.
     pub fn start(options: StartOptions<'_>) -> io::Result<Process> {
-        let mark = options.mark.encode(options.state_directory);
+        let identity = options.identity.encode(options.state_directory);
         let mut command = Command::new("/bin/sh");
         command
             .args(["-c", START_SCRIPT])
@@ -145,11 +147,11 @@
             .env("LISTEN_FDS", "1")
             .env("LISTEN_FDNAMES", "clients")
             .envs(options.log_environment.iter().map(|(name, value)| (*name, value)))
-            .env(MARK_VARIABLE, &mark)
-            .env(FORMER_MARK_VARIABLE, &mark)
+            .env(IDENTITY_VARIABLE, &identity)
+            .env(LEGACY_IDENTITY_VARIABLE, &identity)
             .stdin(options.listener)
             .stdout(Stdio::null())
-            // A terminal's signals are for the daemon alone.
+            // Signals from a terminal, such as SIGINT, reach the daemon alone.
             .process_group(0);
         if let Some(path) = std::env::var_os("PATH") {
             command.env("PATH", path);
@@ -157,11 +159,11 @@
         Process::from_child(command.spawn()?)
     }
 
-    /// Holds a child.
+    /// Takes over a child that was just started.
     ///
     /// # Errors
     ///
-    /// When the system has no descriptor left; the child is killed.
+    /// When no pidfd can be opened, for example for lack of descriptors. The child is killed.
     pub fn from_child(mut child: Child) -> io::Result<Process> {
         let pid = child.id();
         match open_pidfd(pid) {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// A copy of an instance's listener, if the system lets one process copy another's descriptors:
-    /// pidfd_getfd(2) needs the right to trace it, which many hosts deny.
+    /// Returns a copy of the listener of an instance, or `None` if the system does not permit it:
+    /// pidfd_getfd(2) requires the permission to trace the process, which many hosts deny.
     pub fn listener(&self) -> Option<TcpListener> {
         let descriptor =
             pidfd_getfd(&self.pidfd, LISTENER_DESCRIPTOR, PidfdGetfdFlags::empty()).ok()?;
@@ -184,21 +186,21 @@
         Some(listener)
     }
 
-    /// Whether it has ended; a zombie has.
+    /// Whether the process has ended. A zombie counts as ended.
     pub fn has_ended(&self) -> bool {
         is_readable(&self.pidfd)
     }
 
-    /// Sends a signal. Without effect once the process has ended.
+    /// Sends a signal. It has no effect once the process has ended.
     pub fn signal(&self, signal: Signal) {
         let _ = pidfd_send_signal(&self.pidfd, signal);
     }
 
-    /// Waits for a child, whose error stream is a pipe, to end.
+    /// Waits for a child to exit. Its standard error must be a pipe.
     ///
     /// # Errors
     ///
-    /// When its status is not 0, with what it wrote to its error stream.
+    /// When its exit status is not 0. The error has what the child wrote to its standard error.
     pub fn wait_for_success(&mut self) -> Result<(), ChildError> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
         let status = child.wait().map_err(ChildError::Wait)?;
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Reaps a process that has ended.
+    /// Reaps a process that has ended, and returns its exit status if it was a child.
     pub fn reap(&mut self) -> ExitReport {
         let child = self.child.as_mut();
         let Some(status) = child.and_then(|child| child.try_wait().ok().flatten()) else {
@@ -229,7 +231,7 @@
     }
 }
 
-/// For each of these processes, in their order, whether it has ended.
+/// Returns for each process, in the same order, whether it has ended.
 pub fn poll_ended<'a>(processes: impl Iterator<Item = &'a Process>) -> Vec<bool> {
     let mut descriptors: Vec<PollFd<'_>> =
         processes.map(|process| PollFd::new(&process.pidfd, PollFlags::IN)).collect();
@@ -246,35 +248,38 @@
     Ok(pidfd_open(pid, PidfdFlags::NONBLOCK)?)
 }
 
-/// Whether a descriptor can be read without waiting, or its other end is closed.
+/// Whether a read from a descriptor would not block: there is data, or the other end is closed.
 pub fn is_readable(descriptor: &impl AsFd) -> bool {
     let mut descriptors = [PollFd::new(descriptor, PollFlags::IN)];
     poll(&mut descriptors, Some(&NO_WAIT)).is_ok_and(|ready| ready > 0)
 }
 
-/// The running instances of a state directory, whoever started them.
-pub fn find_instances(state_directory: &Path) -> Vec<(InstanceMark, Process)> {
+/// Finds the running instances of a state directory, whichever daemon started them.
+pub fn find_instances(state_directory: &Path) -> Vec<(InstanceIdentity, Process)> {
     let Ok(entries) = fs::read_dir("/proc") else { return Vec::new() };
     let own_user = rustix::process::getuid().as_raw();
     let own = entries.flatten().filter(|entry| entry.metadata().is_ok_and(|m| m.uid() == own_user));
     own.filter_map(|entry| find_instance(&entry, state_directory)).collect()
 }
 
-/// The instance whose folder in `/proc` this is, if it is one.
+/// Returns the instance that a directory in `/proc` belongs to, or `None` if it is not an instance.
 ///
-/// A pid can be given to another process at any moment. The pidfd is opened first: if its process
-/// still runs after the environment was read, the environment was that process's.
-fn find_instance(entry: &fs::DirEntry, state_directory: &Path) -> Option<(InstanceMark, Process)> {
+/// A pid can be reused at any moment. The pidfd is therefore opened first: if its process still runs
+/// after the environment was read, the environment belongs to that process.
+fn find_instance(
+    entry: &fs::DirEntry,
+    state_directory: &Path,
+) -> Option<(InstanceIdentity, Process)> {
     let pid = entry.file_name().to_str()?.parse::<u32>().ok()?;
     let pidfd = open_pidfd(pid).ok()?;
     let environment = fs::read(entry.path().join("environ")).ok()?;
     if is_readable(&pidfd) {
         return None;
     }
-    let mark = environment.split(|byte| *byte == 0).find_map(|variable| {
+    let identity = environment.split(|byte| *byte == 0).find_map(|variable| {
         let (name, value) = std::str::from_utf8(variable).ok()?.split_once('=')?;
-        let is_mark = name == MARK_VARIABLE || name == FORMER_MARK_VARIABLE;
-        if is_mark { InstanceMark::decode(value, state_directory) } else { None }
+        let is_identity = name == IDENTITY_VARIABLE || name == LEGACY_IDENTITY_VARIABLE;
+        if is_identity { InstanceIdentity::decode(value, state_directory) } else { None }
     });
-    Some((mark?, Process { pid, pidfd, child: None }))
+    Some((identity?, Process { pid, pidfd, child: None }))
 }
--- a/crates/fleet/src/process/tests.rs
+++ b/crates/fleet/src/process/tests.rs
@@ -1,4 +1,4 @@
-//! Finding instances and learning how children ended.
+//! Tests of finding instances and of the exit status of children.
 
 use std::path::Path;
 use std::process::{Child, Command};
@@ -7,37 +7,39 @@
 use fakes::until;
 use rustix::process::Signal;
 
-use super::{FORMER_MARK_VARIABLE, InstanceMark, MARK_VARIABLE, Process, find_instances};
+use super::{
+    IDENTITY_VARIABLE, InstanceIdentity, LEGACY_IDENTITY_VARIABLE, Process, find_instances,
+};
 
-fn spawn_sleeping(state_directory: &Path, variable: &str, mark: &InstanceMark) -> Child {
+fn spawn_sleeping(state_directory: &Path, variable: &str, identity: &InstanceIdentity) -> Child {
     let mut command = Command::new("sleep");
-    command.arg("600").env(variable, mark.encode(state_directory));
+    command.arg("600").env(variable, identity.encode(state_directory));
     command.spawn().expect("it starts")
 }
 
 #[test]
-fn instance_started_by_an_earlier_daemon_is_found_by_its_former_mark() {
+fn instance_started_by_an_earlier_version_is_found_by_its_legacy_variable() {
     let folder = Folder::new("find-former");
-    let mark = InstanceMark { slot: "a-1".into(), generation: 1, program_id: 1 };
-    let mut child = spawn_sleeping(folder.path(), FORMER_MARK_VARIABLE, &mark);
+    let identity = InstanceIdentity { slot: "a-1".into(), generation: 1, program_id: 1 };
+    let mut child = spawn_sleeping(folder.path(), LEGACY_IDENTITY_VARIABLE, &identity);
     until("it is found", || find_instances(folder.path()).len() == 1);
-    assert_eq!(find_instances(folder.path())[0].0, mark);
+    assert_eq!(find_instances(folder.path())[0].0, identity);
     child.kill().expect("a child of ours");
     child.wait().expect("a child of ours");
 }
 
 #[test]
-fn running_instance_is_found_by_its_mark_and_ended_one_is_not() {
+fn running_instance_is_found_by_its_identity_and_ended_one_is_not() {
     let (folder, other) = (Folder::new("find"), Folder::new("find"));
-    let mark = InstanceMark { slot: "a|b-1".into(), generation: 3, program_id: 2 };
-    let mut child = spawn_sleeping(folder.path(), MARK_VARIABLE, &mark);
+    let identity = InstanceIdentity { slot: "a|b-1".into(), generation: 3, program_id: 2 };
+    let mut child = spawn_sleeping(folder.path(), IDENTITY_VARIABLE, &identity);
     until("it is found", || find_instances(folder.path()).len() == 1);
     assert!(find_instances(other.path()).is_empty());
     let (found, process) = find_instances(folder.path()).remove(0);
-    assert_eq!((&found, process.pid), (&mark, child.id()));
+    assert_eq!((&found, process.pid), (&identity, child.id()));
     process.signal(Signal::KILL);
     until("its end shows", || process.has_ended());
-    // Nobody has reaped it: a zombie has ended.
+    // It has not been reaped: a zombie counts as ended.
     assert!(find_instances(folder.path()).is_empty());
     child.wait().expect("a child of ours");
 }
--- a/crates/fleet/src/state_directory.rs
+++ b/crates/fleet/src/state_directory.rs
@@ -1,5 +1,5 @@
-//! The daemon's state directory: locked for one daemon, with the stored state, the copies of the
-//! program, the instances' configurations and the sockets.
+//! The state directory of the daemon. It holds the stored state, the copies of the program, the
+//! configurations of the instances and the sockets, and is locked by one daemon at a time.
 
 use std::collections::BTreeSet;
 use std::fs::{self, DirBuilder, File, TryLockError};
@@ -14,39 +14,41 @@
 use crate::planner::ProgramId;
 use crate::state::PersistentState;
 
-/// A child of a killed daemon holds the lock until it has executed its program.
+/// The time for which a held lock is retried. A child that a killed daemon was just starting inherits
+/// the lock and holds it until it has executed its program.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Directories and programs are accessible to their owner only.
+/// The mode of directories and programs, which only their owner can access.
 const OWNER_ONLY: u32 = 0o700;
 const STATE_FILE: &str = "ledger.json";
 const CONFIGURATIONS: &str = "run";
 const PROGRAMS: &str = "bin";
 const PROGRAM_PREFIX: &str = "program-";
 
-/// The state directory cannot be used.
+/// An error of the state directory.
 #[derive(Debug, Error)]
 pub enum StateError {
-    /// A file or directory cannot be read, written or made.
+    /// A file or directory cannot be read, written or created.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// Another daemon has locked the directory.
-    #[error("{}: another daemon has this state", path.display())]
+    #[error("{}: another daemon uses this state directory", path.display())]
     Locked {
         /// The directory.
         path: PathBuf,
     },
-    /// The stored state cannot be understood. To go on without it would start everything anew.
+    /// The stored state cannot be parsed. The daemon does not continue without it, as it would start
+    /// all instances anew.
     #[error("{}: {source}", path.display())]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// The parse error.
         source: serde_json::Error,
     },
 }
@@ -64,17 +66,17 @@
 }
 
 impl StateDirectory {
-    /// Opens and locks a directory, and makes it first if there is none.
+    /// Opens and locks a directory. It is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// When it cannot be used, or another daemon has locked it.
+    /// When the directory cannot be created or accessed, or another daemon has locked it.
     pub fn open(path: &Path) -> Result<StateDirectory, StateError> {
         let mut builder = DirBuilder::new();
         builder.recursive(true).mode(OWNER_ONLY);
         builder.create(path).map_err(StateError::io(path))?;
         let path = path.canonicalize().map_err(StateError::io(path))?;
-        // The sockets in it are protected by nothing else.
+        // The mode of the directory is the only protection of the sockets in it.
         fs::set_permissions(&path, fs::Permissions::from_mode(OWNER_ONLY))
             .map_err(StateError::io(&path))?;
         for part in [CONFIGURATIONS, PROGRAMS] {
@@ -84,31 +86,31 @@
         Ok(StateDirectory { path, _lock: lock })
     }
 
-    /// The directory, as a canonical path.
+    /// Returns the canonical path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// A file or socket in the directory.
+    /// Returns the path of a file or socket in the directory.
     pub fn file(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// The configuration file of a slot.
+    /// Returns the path of the configuration file of a slot.
     pub fn configuration(&self, slot: &str) -> PathBuf {
         self.path.join(CONFIGURATIONS).join(format!("{slot}.json"))
     }
 
-    /// The copy of a program.
+    /// Returns the path of the copy of a program.
     pub fn program(&self, id: ProgramId) -> PathBuf {
         self.path.join(PROGRAMS).join(format!("{PROGRAM_PREFIX}{id}"))
     }
 
-    /// Reads the stored state; an empty one if there is none.
+    /// Reads the stored state. Returns an empty state if none is stored.
     ///
     /// # Errors
     ///
-    /// When there is one that cannot be read or understood.
+    /// When the stored state cannot be read or parsed.
     pub fn load(&self) -> Result<PersistentState, StateError> {
         let path = self.file(STATE_FILE);
         match fs::read(&path) {
@@ -123,15 +125,15 @@
     ///
     /// # Errors
     ///
-    /// When it cannot be written; the state that was stored before is still there.
+    /// When it cannot be written. The previous state usually remains stored, see [`write_atomically`].
     pub fn store(&self, state: &PersistentState) -> io::Result<()> {
         let text = serde_json::to_vec(state)?;
         write_atomically(&self.file(STATE_FILE), &text)
     }
 
-    /// Copies a program, so that what runs can be started again whatever becomes of the file that
-    /// it came from. Returns the number of the copy: `new_id`, or that of one of the `known` copies
-    /// if it is the same program.
+    /// Copies a program into the directory, so that it can be started again even if the original file
+    /// is changed or removed. Returns the number of the copy: `new_id`, or the number of one of the
+    /// `known` copies if that has the same content.
     ///
     /// # Errors
     ///
@@ -154,7 +156,7 @@
         Ok(new_id)
     }
 
-    /// Removes all copies of programs but those in `needed`.
+    /// Removes all copies of programs except those in `needed`.
     pub fn remove_unused_programs(&self, needed: &BTreeSet<ProgramId>) {
         let Ok(entries) = fs::read_dir(self.path.join(PROGRAMS)) else { return };
         for entry in entries.flatten() {
@@ -167,7 +169,7 @@
     }
 }
 
-/// Locks a directory; the lock is released when the file is closed.
+/// Locks a directory. The lock is released when the returned file is closed.
 fn lock(directory: &Path) -> Result<File, StateError> {
     use std::os::unix::fs::OpenOptionsExt;
 
