--- a/crates/fleet/src/planner/action.rs
+++ b/crates/fleet/src/planner/action.rs
@@ -1,4 +1,4 @@
-//! What the planner decides, and the reasons and events that it gives to operators.
+//! The actions that the planner decides on, and the events and reasons that it records for operators.
 
 use std::time::Duration;
 
@@ -8,65 +8,65 @@
 use super::facts::{Generation, ProcessId};
 use crate::stall::Stall;
 
-/// One step towards the desired state.
+/// A step towards the desired state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a process of a slot.
+    /// Starts a process for a slot.
     Start {
         /// The slot.
         slot: String,
-        /// What the process is to run.
+        /// The generation that the process runs.
         generation: Generation,
     },
-    /// Give a process the configuration of a generation.
+    /// Makes a process reload, with the configuration of another generation.
     Reload {
         /// The process.
         process: ProcessId,
-        /// What it is to run.
+        /// The generation that the process runs after the reload.
         generation: Generation,
     },
-    /// Let a process drain and end: its successor accepts on the same listener.
+    /// Makes a process drain and exit. Its successor already accepts on the same listener.
     HandOver {
         /// The process.
         process: ProcessId,
     },
-    /// Let a process drain and end without a successor.
+    /// Makes a process drain and exit. It has no successor.
     Stop {
         /// The process.
         process: ProcessId,
     },
-    /// End a process at once.
+    /// Kills a process.
     Kill {
         /// The process.
         process: ProcessId,
     },
-    /// All slots run the target: it is the stable generation from now on.
+    /// Makes the target the stable generation. All slots run it.
     CompleteRollout {
-        /// The target.
+        /// The target of the rollout.
         generation: Generation,
     },
-    /// The target is not good: the stable generation is the target again.
+    /// Undoes the rollout: the stable generation becomes the target again.
     RollBack {
-        /// The target.
+        /// The target of the rollout.
         generation: Generation,
-        /// Why it is not good.
+        /// Why the rollout is undone.
         reason: RollbackReason,
     },
-    /// Record an event for operators.
+    /// Records an event for operators.
     Record {
-        /// What the event is about.
+        /// The fleet, slot or generation that the event concerns.
         subject: Subject,
-        /// What happened.
+        /// The event.
         event: PlannerEvent,
     },
 }
 
-/// What an event is about.
+/// The fleet, slot or generation that an event concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// The whole fleet.
     Fleet,
-    /// One instance.
+    /// One slot, by its name.
     Slot(String),
     /// One generation.
     Generation(Generation),
@@ -75,43 +75,43 @@
 /// An event that the planner records for operators. Its text is stored in the history.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlannerEvent {
-    /// A process ended without being told to.
+    /// A process exited without being told to.
     #[error("{0}")]
     ProcessEnded(ProcessFailure),
-    /// A process was killed because it failed.
+    /// A process was killed because it hung or did not become ready in time.
     #[error("{0}; killed")]
     ProcessKilled(ProcessFailure),
-    /// The canaries are good, and the other slots follow.
+    /// The canaries passed their observation, and the other slots get the generation.
     #[error("the canary holds ({failed} failed, {rejected} refused of {total}); the others follow")]
     CanaryPassed {
         /// Requests of the canaries that failed.
         failed: u64,
         /// Requests of the canaries that were rejected.
         rejected: u64,
-        /// All requests of the canaries.
+        /// All answered requests of the canaries.
         total: u64,
     },
 }
 
-/// Why a process counts as failed.
+/// Why a process is counted as failed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ProcessFailure {
-    /// It ended without being told to, and had been ready.
+    /// It exited without being told to, after it had become ready.
     #[error("ended {:.1} s after it was ready", ready_for.as_secs_f64())]
     EndedAfterReady {
-        /// How long it had been ready.
+        /// The time from its becoming ready to its exit.
         ready_for: Duration,
     },
-    /// It ended without being told to, and had never been ready.
+    /// It exited without being told to, before it became ready.
     #[error("ended before it was ready")]
     EndedBeforeReady,
     /// It did not become ready in time.
-    #[error("was not ready in time")]
+    #[error("did not become ready in time")]
     NotReadyInTime,
-    /// It stopped reporting.
+    /// It stopped sending status reports.
     #[error("fell silent")]
     Silent,
-    /// It stopped reporting, and the system shows why.
+    /// It stopped sending status reports, and its scheduler statistics show that it is stalled.
     #[error("fell silent: {}", describe_stall(*.0))]
     Stalled(Stall),
     /// It could not be started.
@@ -122,32 +122,32 @@
 fn describe_stall(stall: Stall) -> &'static str {
     match stall {
         Stall::Stopped => "it was stopped",
-        Stall::Asleep => "it sleeps and is not woken",
-        Stall::Spinning => "it goes in circles",
+        Stall::Asleep => "it sleeps although its timers have expired",
+        Stall::Spinning => "it spins without handling its timers",
     }
 }
 
 /// Why a rollout is undone.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RollbackReason {
-    /// Too many processes of the target failed; the last of them.
+    /// Too many processes that ran the target failed. Describes the last failure.
     #[error("{slot}: {failure}")]
     ProcessFailed {
-        /// The slot of the process.
+        /// The slot of the process that failed last.
         slot: String,
-        /// How it failed.
+        /// Why that process failed.
         failure: ProcessFailure,
     },
     /// The canaries did not become ready on the target in time.
-    #[error("{}: not ready in time", canaries.join(", "))]
+    #[error("{}: did not become ready in time", canaries.join(", "))]
     CanaryNotReady {
         /// The slots of the canaries.
         canaries: Vec<String>,
     },
-    /// The canaries answer requests worse than the rest.
+    /// The canaries fail or reject a larger share of requests than the other instances.
     #[error("{0}")]
     CanaryRegressed(CanaryRegression),
-    /// Operators asked for it.
+    /// An operator asked for it.
     #[error("as was asked")]
     Requested,
 }
--- a/crates/fleet/src/planner/backoff.rs
+++ b/crates/fleet/src/planner/backoff.rs
@@ -1,4 +1,4 @@
-//! Failures in a row of each slot, and the backoff before its next start.
+//! Counts consecutive failures of each slot and delays its next start by a backoff.
 
 use std::time::Duration;
 
@@ -8,49 +8,56 @@
 use super::facts::Generation;
 use super::{FleetPolicy, Planner};
 
-/// Beyond so many doublings the backoff does not grow: it would exceed any longest one.
+/// Limits the exponent of the backoff so that it does not overflow. At 2^20 even the smallest initial
+/// backoff, 10 ms, is beyond the largest maximum, one hour.
 const MAX_DOUBLINGS: u32 = 20;
-/// Each backoff is shortened to a random part of it from this share on, so that slots that failed
-/// together do not start together.
+/// The lower bound of the random factor, below 1, that each backoff is multiplied by. Jitter keeps
+/// slots that failed together from starting together.
 const MIN_JITTER: f64 = 0.5;
 
-/// The failures in a row of one slot.
+/// The consecutive failures of one slot.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RestartBackoff {
     failures: u32,
-    /// The slot is not started before, by the daemon's clock.
+    /// The earliest time of the next start, since the daemon's start.
     not_before: Duration,
     last_failure: Option<ProcessFailure>,
 }
 
-/// Whether a slot may be started, as operators see it.
+/// Whether a slot may be started, for the status that operators see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartState {
-    /// It failed too often in a row and is started at the longest backoff.
+    /// It has reached the crash-loop threshold and is restarted at the maximum backoff.
     CrashLoop,
     /// It waits for its backoff to end.
     BackingOff,
-    /// It may be started at once.
+    /// It may be started now.
     Ready,
 }
 
-/// The restarts of a slot, as operators see them.
+/// The restart state of a slot, for the status that operators see.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotHealth {
     /// Whether it may be started.
     pub restart_state: RestartState,
-    /// Failures in a row.
+    /// The number of consecutive failures.
     pub failures: u32,
-    /// The last of them.
+    /// The last of these failures, or `None` if there are none.
     pub last_failure: Option<ProcessFailure>,
 }
 
 impl RestartBackoff {
-    /// Counts one more failure at `now`. `jitter` is the part of the backoff that is waited for.
-    fn record(&mut self, now: Duration, policy: &FleetPolicy, jitter: f64, why: ProcessFailure) {
+    /// Counts a failure at `now`. The backoff is multiplied by `jitter`.
+    fn record(
+        &mut self,
+        now: Duration,
+        policy: &FleetPolicy,
+        jitter: f64,
+        failure: ProcessFailure,
+    ) {
         self.failures = self.failures.saturating_add(1);
         self.not_before = now + self.backoff(policy).min(policy.max_backoff).mul_f64(jitter);
-        self.last_failure = Some(why);
+        self.last_failure = Some(failure);
     }
 
     fn backoff(&self, policy: &FleetPolicy) -> Duration {
@@ -58,8 +65,8 @@
             return policy.max_backoff;
         }
         match self.failures {
-            // A process that ends once after it has served for long is most likely in no crash
-            // loop, and its clients wait.
+            // A single crash after a long time of service is hardly a crash loop, and clients are
+            // waiting: restart at once.
             0 | 1 => Duration::ZERO,
             n => policy.initial_backoff.saturating_mul(1 << (n - 2).min(MAX_DOUBLINGS)),
         }
@@ -67,12 +74,12 @@
 }
 
 impl Planner {
-    /// Whether a slot's backoff is over.
-    pub(super) fn backoff_is_over(&self, now: Duration, slot: &str) -> bool {
+    /// Whether a slot has no backoff left to wait for.
+    pub(super) fn is_backoff_over(&self, now: Duration, slot: &str) -> bool {
         self.backoffs.get(slot).is_none_or(|backoff| backoff.not_before <= now)
     }
 
-    /// The restarts of a slot.
+    /// Returns the restart state of a slot.
     pub fn slot_health(&self, now: Duration, slot: &str) -> SlotHealth {
         let Some(backoff) = self.backoffs.get(slot) else {
             return SlotHealth {
@@ -92,12 +99,12 @@
         SlotHealth { restart_state, failures: backoff.failures, last_failure }
     }
 
-    /// Forgets a slot's failures: an operator asked for another attempt.
+    /// Resets a slot's failures, so that it is started at once. Called when an operator restarts it.
     pub fn reset_failures(&mut self, slot: &str) {
         self.backoffs.remove(slot);
     }
 
-    /// Counts a start that did not lead to a process.
+    /// Counts a failure of a slot whose process could not be started.
     pub fn record_start_failure(
         &mut self,
         now: Duration,
@@ -109,7 +116,8 @@
         self.record_failure(now, slot, generation, failure);
     }
 
-    /// Counts a failure of a slot, and against the rollout if the process ran its target.
+    /// Counts a failure of a slot. If the process ran the target of the rollout, and the slot was not
+    /// already failing before the rollout, the failure counts against the rollout, too.
     pub(super) fn record_failure(
         &mut self,
         now: Duration,
@@ -120,7 +128,7 @@
         let jitter = self.rng.random_range(MIN_JITTER..1.0);
         if let Some(rollout) = &mut self.rollout
             && rollout.target == generation
-            && !rollout.failing_before.contains(slot)
+            && !rollout.previously_failing.contains(slot)
         {
             rollout.failures += 1;
             let (slot, failure) = (slot.to_owned(), failure.clone());
--- a/crates/fleet/src/planner/canary.rs
+++ b/crates/fleet/src/planner/canary.rs
@@ -1,4 +1,4 @@
-//! Compares the requests that the canaries of a rollout answer with those of the other instances.
+//! Compares the outcomes of requests at the canaries of a rollout with those at the other instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use super::facts::{DesiredState, ObservedProcess, ProcessId, RequestTotals};
 use super::policy::FleetPolicy;
 
-/// Canaries with too few requests to be compared are observed for so many times as long.
+/// The number of canary periods for which canaries with too few requests for a comparison are observed.
 const EXTENDED_PERIODS: u32 = 4;
 
-/// The canaries' share of failed or rejected requests exceeds that of the rest by more than the
-/// policy's margin.
+/// The canaries' share of failed or rejected requests exceeds that of the other instances by more
+/// than the margin of the policy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{bad} of {total} requests {outcome} at the canary, {rest_bad} of {rest_total} elsewhere")]
 pub struct CanaryRegression {
@@ -31,17 +31,19 @@
     Rejected,
 }
 
-/// The requests that canaries and rest answered since the observation began.
+/// The requests that the canaries and the other instances answered since the observation began.
 pub(super) struct CanaryComparison {
-    /// Requests of the canaries.
+    /// Requests that the canaries answered.
     pub(super) canary: RequestTotals,
+    /// Requests that the other instances answered.
     rest: RequestTotals,
-    /// All slots are canaries: there is no rest to compare with.
+    /// Whether all slots are canaries, so that there are no instances to compare with.
     no_rest: bool,
 }
 
 impl CanaryComparison {
-    /// Sums up what each process answered beyond its `baseline`.
+    /// Sums up the requests that each process answered beyond its `baseline`. Draining processes are
+    /// left out.
     pub(super) fn measure(
         canaries: &BTreeSet<String>,
         baseline: &BTreeMap<ProcessId, RequestTotals>,
@@ -53,8 +55,8 @@
             let before = baseline.get(&process.id).copied().unwrap_or_default();
             let is_canary =
                 canaries.contains(&process.slot) && process.generation == desired.target;
-            let side = if is_canary { &mut canary } else { &mut rest };
-            side.add(process.requests.since(before));
+            let totals = if is_canary { &mut canary } else { &mut rest };
+            totals.add(process.requests.since(before));
         }
         CanaryComparison { canary, rest, no_rest: canaries.len() >= desired.slots.len() }
     }
@@ -64,11 +66,12 @@
         enough(self.canary) && (enough(self.rest) || self.no_rest)
     }
 
-    /// How the canaries are worse than the rest, if they are.
+    /// Returns the regression of the canaries relative to the other instances, or `None` if there is
+    /// none or there are too few requests to tell.
     ///
-    /// An overloaded canary may reject requests, and one that has just started rejects more than
-    /// the rest, so the margin of rejections is wide. One that rejects everything is as bad as one
-    /// that fails everything.
+    /// Rejections count because a canary that rejects every request is as broken as one that fails
+    /// every request. Their margin is wide because an overloaded canary may reject requests, and an
+    /// instance that has just started rejects more than the others.
     pub(super) fn regression(&self, policy: &FleetPolicy) -> Option<CanaryRegression> {
         if !self.is_comparable(policy) {
             return None;
@@ -90,7 +93,8 @@
             })
     }
 
-    /// How long the canaries are to be observed: longer where requests come, but too few yet.
+    /// The time for which the canaries are observed. It is extended if they get requests, but too
+    /// few for a comparison so far.
     pub(super) fn observation_period(&self, policy: &FleetPolicy) -> Duration {
         let too_few =
             !self.is_comparable(policy) && self.canary.total > 0 && policy.min_requests > 0;
--- a/crates/fleet/src/planner/commands.rs
+++ b/crates/fleet/src/planner/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that were given to processes, and when they are given again.
+//! Tracks the commands given to processes and repeats those that have not taken effect.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 use super::action::Action;
 use super::facts::{Generation, ObservedProcess};
 
-/// A command that a process does not act on is repeated no sooner than after this.
+/// The shortest interval in which a command is repeated to a process that has not acted on it.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a process is told to do.
+/// A command to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
     /// Apply the configuration of a generation.
     Reload(Generation),
-    /// Drain and end: a successor serves.
+    /// Drain and exit; a successor serves.
     HandOver,
-    /// Drain and end.
+    /// Drain and exit.
     Stop,
-    /// End at once.
+    /// Exit at once, by SIGKILL.
     Kill,
 }
 
 impl Command {
-    /// Whether the process is to end.
+    /// Whether the command makes the process exit.
     pub(super) fn ends_process(self) -> bool {
         !matches!(self, Command::Reload(_))
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The last command that a process was given. Times are since the daemon's start.
+/// The last command given to a process. Times are since the daemon's start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IssuedCommand {
     pub(super) command: Command,
@@ -54,18 +54,20 @@
 }
 
 impl Planner {
-    /// The last command that a process was given, if it has not been carried out.
+    /// Returns the last command given to a process, or `None` if it was given none or has carried it
+    /// out.
     pub(super) fn issued(&self, process: &ObservedProcess) -> Option<IssuedCommand> {
         self.issued.get(&process.id).copied()
     }
 
-    /// Whether a process goes on serving: it does not drain and was not told to end.
+    /// Whether a process keeps serving: it is not draining and was not told to exit.
     pub(super) fn is_serving(&self, process: &ObservedProcess) -> bool {
         let ending = self.issued(process).is_some_and(|issued| issued.command.ends_process());
         !process.draining && !ending
     }
 
-    /// Gives a process a command, unless it was given the same one a moment ago or is to be killed.
+    /// Gives a process a command, unless it was given the same one within [`REPEAT_INTERVAL`] or is
+    /// being killed.
     pub(super) fn issue(
         &mut self,
         now: Duration,
@@ -88,14 +90,15 @@
         actions.push(command.action(process));
     }
 
-    /// Follows a process that is to end: repeats its command, and kills it when it takes too long.
+    /// Repeats the command of a process that was told to exit, and kills the process once it exceeds
+    /// the drain timeout.
     pub(super) fn drain(
         &mut self,
         now: Duration,
         process: &ObservedProcess,
         actions: &mut Vec<Action>,
     ) {
-        // A process that drains without a command was told to by an earlier daemon.
+        // A process that drains without a command got it from a previous daemon.
         let issued = *self
             .issued
             .entry(process.id)
--- a/crates/fleet/src/planner/facts.rs
+++ b/crates/fleet/src/planner/facts.rs
@@ -1,33 +1,34 @@
-//! What the planner is given: the observed processes and the desired state.
+//! The planner's input: the observed processes and the desired state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::stall::Stall;
 
-/// Numbers the revisions of what instances are to run; 0 stands for none.
+/// The number of a revision, which is a configuration and a program for all instances. 0 means that
+/// there is none.
 pub type Generation = u64;
 
-/// Numbers the copies of the sidecar's program that the state directory keeps.
+/// The number of a copy of the sidecar's program in the state directory.
 pub type ProgramId = u64;
 
-/// Identifies one process for the life of the daemon; never used again.
+/// Identifies a process during the life of the daemon. Unlike a pid, it is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub u64);
 
-/// Requests of one process by their final answer, since it started.
+/// The requests that a process has answered since it started, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
     /// All answered requests.
     pub total: u64,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Those that were rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
 }
 
 impl RequestTotals {
-    /// The requests answered since `earlier` was read.
+    /// Returns the requests answered since `earlier` was read.
     pub(super) fn since(self, earlier: RequestTotals) -> RequestTotals {
         RequestTotals {
             total: self.total.saturating_sub(earlier.total),
@@ -42,77 +43,80 @@
         self.rejected += other.rejected;
     }
 
-    /// `part` as a share of all requests, from 0 to 1.
+    /// Returns `part` as a share of all requests, from 0 to 1.
     pub(super) fn share(self, part: u64) -> f64 {
         part as f64 / self.total.max(1) as f64
     }
 }
 
-/// One process as it was last observed. Times are since the daemon's start.
+/// A process as it was last observed. Times are since the daemon's start.
 #[derive(Clone, Debug)]
 pub struct ObservedProcess {
-    /// Its number.
+    /// The number that the daemon has given to the process.
     pub id: ProcessId,
     /// The slot that it serves.
     pub slot: String,
-    /// What it runs by its own report; before the first report, what it was started with.
+    /// The generation that it reports; before the first report, the one that it was started with.
     pub generation: Generation,
     /// The program that it runs.
     pub program_id: ProgramId,
     /// When it was started or adopted.
     pub started_at: Duration,
-    /// When it last reported; before the first report, when it was started.
+    /// When it last reported; before the first report, when it was started or adopted.
     pub last_report_at: Duration,
-    /// It reports that it serves.
+    /// Whether it reports that it is ready to serve.
     pub ready: bool,
-    /// It reports that it only completes the requests that it has.
+    /// Whether it reports that it is draining.
     pub draining: bool,
-    /// The generation that it reports not to apply without a restart.
+    /// The generation that it reports as rejected: it cannot apply it without a restart. `None` if it
+    /// has rejected none.
     pub rejected_generation: Option<Generation>,
-    /// It was adopted and has not reported since: what it runs is not known yet.
+    /// Whether it was adopted and has not reported since, so that its generation is not known.
     pub awaiting_report: bool,
-    /// An operator asked for a successor in its place.
+    /// Whether an operator asked for its replacement by a successor.
     pub restart_requested: bool,
-    /// The requests that it answered.
+    /// The requests that it has answered.
     pub requests: RequestTotals,
-    /// Set when it is silent and the system's figures show that it hangs.
+    /// Its stall, if it has stopped reporting and its scheduler statistics show that it hangs.
     pub stall: Option<Stall>,
 }
 
-/// How all instances are to end.
+/// The manner in which all instances are ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shutdown {
-    /// Each completes the requests that it has.
+    /// Each instance drains: it completes its requests and exits.
     Graceful,
-    /// Each is killed soon, whatever it still has.
+    /// Each instance is killed after a short timeout, even with requests in flight.
     Immediate,
 }
 
 /// The desired state of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct DesiredState {
-    /// The slots that are to be served.
+    /// The slots that need a serving process.
     pub slots: BTreeSet<String>,
-    /// Those of `slots` that only the target can configure.
+    /// The subset of `slots` that the target adds: the stable generation has no configuration for
+    /// them.
     pub added_slots: BTreeSet<String>,
-    /// Slots beside `slots` that the stable generation has and the target has not.
+    /// Slots that the target removes: the stable generation has them, and they are not in `slots`.
     pub removed_slots: BTreeSet<String>,
-    /// What all slots are to run.
+    /// The generation that all slots should run.
     pub target: Generation,
-    /// The last generation that is known to be good; equal to `target` unless a rollout runs.
+    /// The last generation that was rolled out completely; equal to `target` unless a rollout is in
+    /// progress.
     pub stable: Generation,
-    /// The target's program.
+    /// The program of the target.
     pub target_program: ProgramId,
-    /// The stable generation's program.
+    /// The program of the stable generation.
     pub stable_program: ProgramId,
-    /// Slots that cannot be started now, for a reason outside of them.
+    /// Slots that cannot be started now for an external reason, such as an address that is in use.
     pub blocked_slots: BTreeSet<String>,
-    /// Set when all instances are to end.
+    /// The shutdown of the whole fleet, if one has begun.
     pub shutdown: Option<Shutdown>,
 }
 
 impl DesiredState {
-    /// The program of a generation, which is the target or the stable one.
+    /// Returns the program of a generation, which must be the target or the stable one.
     pub(super) fn program_of(&self, generation: Generation) -> ProgramId {
         if generation == self.target { self.target_program } else { self.stable_program }
     }
--- a/crates/fleet/src/planner/mod.rs
+++ b/crates/fleet/src/planner/mod.rs
@@ -1,13 +1,16 @@
-//! Decides the next steps towards the desired state. Facts and time go in, actions come out; nothing
-//! here does I/O or reads a clock.
+//! Decides the next steps towards the desired state. The planner is a state machine: it takes the time,
+//! the observed processes and the desired state, and returns actions. It does no I/O and reads no
+//! clock.
 //!
-//! Every call compares the observed processes with the desired state and names the next steps, so a
-//! step that failed, a lost signal and a daemon that died are one case: the facts still differ. What
-//! is remembered between calls is what the facts cannot tell: which command each process was given
-//! and when, how often a slot failed, and how far a rollout is. All of it may be lost at any time.
+//! Every call of [`Planner::reconcile`] compares the observed processes with the desired state and
+//! returns the next steps. A step that failed, a lost signal and a restart of the daemon therefore need
+//! no handling of their own: the observed state still differs from the desired one. Between calls the
+//! planner remembers only what cannot be observed: which command each process was given and when, how
+//! often each slot failed, and how far a rollout has come. All of it may be lost at any time.
 //!
-//! A *slot* is one instance by name; at most one process serves it, except during a handover. A
-//! *generation* numbers what the instances are to run: configuration and program.
+//! A *slot* is the place of one named instance. At most one process serves it, except during a
+//! handover. A *generation* is the number of a revision: a configuration and a program for all
+//! instances.
 
 mod action;
 mod backoff;
@@ -39,10 +42,10 @@
 use observe::KnownProcess;
 use rollout::Rollout;
 
-/// In an immediate shutdown, a process that has not ended after this is killed.
+/// The time that a process gets to exit in an immediate shutdown before it is killed.
 const IMMEDIATE_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Decides the next steps towards the desired state.
+/// Decides the next steps towards the desired state of a fleet.
 #[derive(Clone, Debug)]
 pub struct Planner {
     policy: FleetPolicy,
@@ -52,12 +55,13 @@
     known: BTreeMap<ProcessId, KnownProcess>,
     rollout: Option<Rollout>,
     last_reconciled_at: Duration,
-    /// Since when there was no long gap between two calls.
+    /// The end of the last long gap between two calls, since the daemon's start. Timeouts of silence
+    /// start no earlier.
     observing_since: Duration,
 }
 
 impl Planner {
-    /// A planner that remembers nothing. `seed` is for the jitter of backoffs.
+    /// Creates a planner without any history. `seed` seeds the jitter of backoffs.
     pub fn new(policy: FleetPolicy, seed: u64) -> Planner {
         Planner {
             policy,
@@ -71,13 +75,13 @@
         }
     }
 
-    /// Replaces the limits and timeouts from the next call on.
+    /// Replaces the limits and timeouts. They apply from the next call of [`Planner::reconcile`].
     pub fn set_policy(&mut self, policy: FleetPolicy) {
         self.policy = policy;
     }
 
-    /// The next steps at `now`, by the daemon's clock. They are to be carried out in order, before
-    /// the next call.
+    /// Returns the next steps at `now`, the time since the daemon's start. The caller carries them out
+    /// in order before the next call.
     pub fn reconcile(
         &mut self,
         now: Duration,
@@ -102,8 +106,9 @@
         actions
     }
 
-    /// A daemon that was stopped for a while, or whose clock jumped, has read no reports meanwhile.
-    /// Silence counts from where it observes again, or it would kill all processes at once.
+    /// Detects a long gap between two calls: the daemon was suspended, or its clock jumped. It read no
+    /// reports during the gap, so the silence of processes is measured from its end; otherwise all of
+    /// them would be killed at once.
     fn detect_gap(&mut self, now: Duration) {
         if now.saturating_sub(self.last_reconciled_at) > self.policy.silence_timeout / 2 {
             self.observing_since = now;
@@ -133,13 +138,13 @@
         }
     }
 
-    /// How many slots may change their process or configuration at once.
-    fn move_limit(&self, desired: &DesiredState) -> usize {
-        let share = desired.slots.len() as f64 * self.policy.max_moving_share;
+    /// Returns the number of slots that may change their process or configuration at once.
+    fn update_limit(&self, desired: &DesiredState) -> usize {
+        let share = desired.slots.len() as f64 * self.policy.max_updating_share;
         (share.ceil() as usize).max(1)
     }
 
-    /// Whether a process was adopted and may yet report what it runs.
+    /// Whether a process was adopted and may still send its first report within the ready timeout.
     fn awaits_report(&self, now: Duration, process: &ObservedProcess) -> bool {
         process.awaiting_report
             && now.saturating_sub(process.started_at) <= self.policy.ready_timeout
--- a/crates/fleet/src/planner/observe.rs
+++ b/crates/fleet/src/planner/observe.rs
@@ -1,4 +1,4 @@
-//! Takes in which processes are new, ready or gone.
+//! Tracks processes between calls: which are new, have become ready, or are gone.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::commands::Command;
 use super::facts::{DesiredState, Generation, ObservedProcess, ProcessId};
 
-/// What is remembered of a process for the moment when it is gone.
+/// The last known state of a process, which is needed once it is gone.
 #[derive(Clone, Debug)]
 pub(super) struct KnownProcess {
     slot: String,
@@ -17,7 +17,8 @@
 }
 
 impl Planner {
-    /// Compares the processes with those of the last call.
+    /// Updates the known processes, and records an event and a failure for each that has exited
+    /// unexpectedly since the last call.
     pub(super) fn observe(
         &mut self,
         now: Duration,
@@ -39,7 +40,7 @@
         self.backoffs.retain(|slot, _| is_managed(slot));
     }
 
-    /// Counts a failure if the process that is gone was not told to end.
+    /// Counts a failure for a process that is gone, unless it was told to exit.
     fn observe_end(
         &mut self,
         now: Duration,
@@ -68,7 +69,8 @@
         self.record_failure(now, &process.slot, process.generation, failure);
     }
 
-    /// Takes in what a process runs and for how long it has been ready.
+    /// Updates the known generation of a process and the time for which it has been ready. Clears a
+    /// reload command that it has carried out, and the failures of its slot once it is stable.
     fn observe_process(&mut self, now: Duration, process: &ObservedProcess) {
         let known = self.known.entry(process.id).or_insert_with(|| KnownProcess {
             slot: process.slot.clone(),
--- a/crates/fleet/src/planner/policy.rs
+++ b/crates/fleet/src/planner/policy.rs
@@ -1,60 +1,64 @@
-//! The limits and timeouts by which a fleet is run.
+//! The limits and timeouts of a fleet.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The limits and timeouts by which a fleet is run. Part of the stored state: the stored names are
-/// those of version 0.2.0.
+/// The limits and timeouts of a fleet. It is part of the stored state; the serialized names are those of
+/// version 0.2.0.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct FleetPolicy {
     /// The share of the slots that may change their process or configuration at once, from 0 to 1.
     #[serde(rename = "share")]
-    pub max_moving_share: f64,
-    /// How many slots get a new generation ahead of the others.
+    pub max_updating_share: f64,
+    /// The number of slots that get a new generation first.
     #[serde(rename = "canaries")]
     pub canary_count: usize,
-    /// How long canaries are observed before the others follow.
+    /// The time for which canaries are observed before the other slots follow.
     #[serde(rename = "watch")]
     pub canary_period: Duration,
-    /// By how much the canaries' share of failed requests may exceed that of the rest.
+    /// The margin by which the canaries' share of failed requests may exceed that of the other
+    /// instances, from 0 to 1.
     #[serde(rename = "margin")]
     pub failure_margin: f64,
-    /// By how much the canaries' share of rejected requests may exceed that of the rest.
+    /// The margin by which the canaries' share of rejected requests may exceed that of the other
+    /// instances, from 0 to 1.
     #[serde(rename = "refusal_margin")]
     pub rejection_margin: f64,
-    /// Requests that canaries and rest need each to be compared.
+    /// The number of requests that the canaries and the other instances each need for a comparison.
     #[serde(rename = "least_requests")]
     pub min_requests: u64,
-    /// How long a process may take to become ready.
+    /// The time within which a process must become ready after its start.
     #[serde(rename = "ready_within")]
     pub ready_timeout: Duration,
-    /// How long a process may take to report that it applied a new configuration.
+    /// The time within which a process must report that it has applied a new configuration.
     #[serde(rename = "reload_within")]
     pub reload_timeout: Duration,
-    /// How long a process may take to end when told to.
+    /// The time within which a process must exit when told to.
     #[serde(rename = "drain_within")]
     pub drain_timeout: Duration,
-    /// A process that has not reported for so long is taken for hung.
+    /// The time without a report after which a process is considered hung and is killed.
     #[serde(rename = "silent_after")]
     pub silence_timeout: Duration,
-    /// The same where the system's figures show that it hangs.
+    /// The time without a report after which a process is killed whose scheduler statistics show that it
+    /// hangs.
     #[serde(rename = "hung_after")]
     pub stall_timeout: Duration,
-    /// The backoff after a second failure in a row, doubled with each further one. The first
-    /// failure has none.
+    /// The backoff after the second consecutive failure, doubled with each further one. There is no
+    /// backoff after the first failure.
     #[serde(rename = "first_pause")]
     pub initial_backoff: Duration,
-    /// The longest backoff.
+    /// The maximum backoff.
     #[serde(rename = "longest_pause")]
     pub max_backoff: Duration,
-    /// After so many failures in a row a slot is in a crash loop: restarted at the longest backoff.
+    /// The number of consecutive failures from which a slot is in a crash loop, and is restarted at the
+    /// maximum backoff.
     #[serde(rename = "hold_after")]
     pub crash_loop_threshold: u32,
-    /// A process that has been ready for so long resets the failures of its slot.
+    /// The time for which a process must be ready to reset the failures of its slot.
     pub stable_after: Duration,
-    /// How many processes may be starting at once.
+    /// The number of processes that may be starting at once.
     #[serde(rename = "starting_at_once")]
     pub max_concurrent_starts: usize,
 }
@@ -62,7 +66,7 @@
 impl Default for FleetPolicy {
     fn default() -> FleetPolicy {
         FleetPolicy {
-            max_moving_share: 0.1,
+            max_updating_share: 0.1,
             canary_count: 1,
             canary_period: Duration::from_secs(5),
             failure_margin: 0.05,
--- a/crates/fleet/src/planner/rollout.rs
+++ b/crates/fleet/src/planner/rollout.rs
@@ -1,4 +1,4 @@
-//! Brings a new generation to a few canaries first, then to the other slots, or undoes it.
+//! Rolls a new generation out to a few canaries first and then to the other slots, or rolls it back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::facts::{DesiredState, Generation, ObservedProcess, ProcessId, RequestTotals};
 use super::policy::FleetPolicy;
 
-/// After the canaries have passed, at least so many processes of the target may fail before the
-/// rollout is undone.
+/// The lower bound of the number of failures that a rollout tolerates once the canaries have passed.
+/// While they are observed, it tolerates none.
 const MIN_TOLERATED_FAILURES: usize = 2;
 
-/// A rollout that runs.
+/// A rollout in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Rollout {
     pub(super) target: Generation,
@@ -21,55 +21,58 @@
     started_at: Duration,
     pub(super) canaries: BTreeSet<String>,
     phase: RolloutPhase,
-    /// Failures of processes that ran the target.
+    /// The number of failures of processes that ran the target.
     pub(super) failures: usize,
-    /// The last of them.
+    /// The last of these failures.
     pub(super) last_failure: Option<RollbackReason>,
-    /// Slots that failed before the rollout began: they say nothing of the target.
-    pub(super) failing_before: BTreeSet<String>,
+    /// Slots that were failing before the rollout began. Their failures do not count against the
+    /// target, and the rollout completes without them.
+    pub(super) previously_failing: BTreeSet<String>,
 }
 
 #[derive(Clone, Debug)]
 enum RolloutPhase {
-    /// Not all canaries serve the target yet.
+    /// Some canaries do not serve the target yet.
     StartingCanaries,
-    /// All canaries have served the target since then.
+    /// All canaries serve the target, and their requests are compared with those of the others.
     ObservingCanaries {
+        /// The start of the observation, since the daemon's start.
         since: Duration,
-        /// What each process had answered when the observation began.
+        /// The requests that each process had answered when the observation began.
         baseline: BTreeMap<ProcessId, RequestTotals>,
     },
-    /// The other slots follow.
+    /// The canaries have passed, and the other slots get the target.
     Waves,
 }
 
-/// How far a rollout is, as operators see it.
+/// The progress of a rollout, for the status that operators see.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutProgress {
-    /// The generation that it leads to.
+    /// The generation that is rolled out.
     pub target: Generation,
-    /// The slots that got it first.
+    /// The slots that got the generation first.
     pub canaries: Vec<String>,
-    /// The canaries have passed, and the other slots follow.
+    /// Whether the canaries have passed and the other slots follow.
     pub waves: bool,
 }
 
 impl Rollout {
-    /// Whether the canaries have passed.
+    /// Whether the canaries have passed, and the other slots follow.
     pub(super) fn in_waves(&self) -> bool {
         matches!(self.phase, RolloutPhase::Waves)
     }
 
-    /// Whether a slot may get the target by now.
+    /// Whether a slot may run the target in the present phase.
     pub(super) fn includes(&self, slot: &str) -> bool {
         self.in_waves() || self.canaries.contains(slot)
     }
 
-    fn tolerated_failures(&self, move_limit: usize) -> usize {
-        if self.in_waves() { move_limit.max(MIN_TOLERATED_FAILURES) } else { 0 }
+    fn tolerated_failures(&self, update_limit: usize) -> usize {
+        if self.in_waves() { update_limit.max(MIN_TOLERATED_FAILURES) } else { 0 }
     }
 
-    /// Begins to observe the canaries once all serve the target; an error if that takes too long.
+    /// Begins to observe the canaries once all of them serve the target. Fails if that takes longer
+    /// than the ready and reload timeouts together.
     fn start_canaries(
         &mut self,
         now: Duration,
@@ -91,9 +94,9 @@
         Ok(())
     }
 
-    /// Lets the other slots follow once the canaries were observed for long enough; an error if
-    /// they are worse than the rest.
-    fn judge_canaries(
+    /// Enters the waves once the canaries have been observed for long enough. Fails if they regress
+    /// relative to the other instances.
+    fn evaluate_canaries(
         &mut self,
         now: Duration,
         since: Duration,
@@ -117,7 +120,7 @@
 }
 
 impl Planner {
-    /// How far the rollout is that runs, if one does.
+    /// Returns the progress of the current rollout, or `None` if there is none.
     pub fn rollout_progress(&self) -> Option<RolloutProgress> {
         self.rollout.as_ref().map(|rollout| RolloutProgress {
             target: rollout.target,
@@ -126,7 +129,7 @@
         })
     }
 
-    /// Brings the rollout one step further; an error if its target is not good.
+    /// Advances the rollout by one step. Fails with the reason if it has to be rolled back.
     pub(super) fn advance_rollout(
         &mut self,
         now: Duration,
@@ -137,10 +140,10 @@
         if !self.ensure_rollout(now, desired, processes) {
             return Ok(());
         }
-        let move_limit = self.move_limit(desired);
+        let update_limit = self.update_limit(desired);
         let serving = self.slots_serving_target(desired, processes);
         let Some(rollout) = &self.rollout else { return Ok(()) };
-        if rollout.failures > rollout.tolerated_failures(move_limit)
+        if rollout.failures > rollout.tolerated_failures(update_limit)
             && let Some(reason) = &rollout.last_failure
         {
             return Err(reason.clone());
@@ -154,7 +157,8 @@
         self.advance_canaries(now, desired, processes, &serving, actions)
     }
 
-    /// Begins a rollout where target and stable generation differ; whether one runs.
+    /// Begins a rollout if the target differs from the stable generation and none is in progress for
+    /// them. Returns whether a rollout is in progress.
     fn ensure_rollout(
         &mut self,
         now: Duration,
@@ -165,10 +169,10 @@
             self.rollout = None;
             return false;
         }
-        // What an adopted process runs is known only once it reports. Before, all would seem to
-        // run what they were started with.
-        let unknown = processes.iter().any(|process| self.awaits_report(now, process));
-        if self.rollout.is_none() && unknown {
+        // The generation of an adopted process is known only once it reports. Until then it would be
+        // taken for the one that the process was started with, and canaries would be chosen by it.
+        let awaits_reports = processes.iter().any(|process| self.awaits_report(now, process));
+        if self.rollout.is_none() && awaits_reports {
             return false;
         }
         let is_current = |rollout: &Rollout| {
@@ -183,7 +187,7 @@
                 phase: RolloutPhase::StartingCanaries,
                 failures: 0,
                 last_failure: None,
-                failing_before: self.backoffs.keys().cloned().collect(),
+                previously_failing: self.backoffs.keys().cloned().collect(),
             });
         }
         true
@@ -203,7 +207,8 @@
         processes.iter().filter(serves_target).map(|process| process.slot.as_str()).collect()
     }
 
-    /// Whether all slots that can serve do so on the target, and nothing else goes on serving.
+    /// Whether all slots that can be served run the target, and no other generation keeps serving.
+    /// Blocked slots and those that were failing before the rollout are left out.
     fn rollout_is_complete(
         &self,
         rollout: &Rollout,
@@ -214,16 +219,16 @@
         let is_done = |slot: &String| {
             serving.contains(slot.as_str())
                 || desired.blocked_slots.contains(slot)
-                || rollout.failing_before.contains(slot)
+                || rollout.previously_failing.contains(slot)
         };
         let only_target = processes
             .iter()
             .filter(|process| self.is_serving(process))
             .all(|process| process.generation == desired.target);
-        // Where no slot can serve, nothing speaks for the target yet.
-        let is_shown = desired.slots.is_empty()
+        // Unless at least one slot serves the target, nothing shows yet that it works.
+        let is_proven = desired.slots.is_empty()
             || desired.slots.iter().any(|slot| serving.contains(slot.as_str()));
-        desired.slots.iter().all(is_done) && only_target && is_shown
+        desired.slots.iter().all(is_done) && only_target && is_proven
     }
 
     fn advance_canaries(
@@ -240,7 +245,7 @@
             return Ok(());
         }
         if rollout.canaries.is_empty() {
-            // None can be started: the next call chooses again.
+            // No slot could be started when the canaries were chosen: the next call chooses again.
             self.rollout = None;
             return Ok(());
         }
@@ -252,14 +257,14 @@
                 let since = *since;
                 let comparison =
                     CanaryComparison::measure(&rollout.canaries, baseline, desired, processes);
-                rollout.judge_canaries(now, since, &comparison, &self.policy, actions)
+                rollout.evaluate_canaries(now, since, &comparison, &self.policy, actions)
             }
             RolloutPhase::Waves => Ok(()),
         }
     }
 
-    /// The slots that get the target first: those that run it already, then those that are ready,
-    /// then any that can be started.
+    /// Chooses the slots that get the target first. Slots that already run it are preferred, then
+    /// slots with a ready process, then any that can be started.
     fn choose_canaries(
         &self,
         desired: &DesiredState,
--- a/crates/fleet/src/planner/slots.rs
+++ b/crates/fleet/src/planner/slots.rs
@@ -1,4 +1,4 @@
-//! Brings each slot to one process that runs what the slot is to run.
+//! Brings each slot to exactly one process, which runs the right generation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use super::commands::Command;
 use super::facts::{DesiredState, Generation, ObservedProcess};
 
-/// What may still be begun in one call.
+/// The number of operations that may still be begun in one call.
 struct Budget {
     /// Processes that may be started.
     starts: usize,
     /// Slots that may change their process or configuration.
-    moves: usize,
+    updates: usize,
 }
 
-/// What a slot is to run.
+/// The state that a slot should reach.
 enum SlotGoal {
-    /// This generation.
+    /// One process serves and runs this generation.
     Run(Generation),
-    /// Nothing: its processes end.
+    /// No process runs.
     Stop,
-    /// Only the target can configure it, and it is not the slot's turn yet.
+    /// The slot is left as it is: only the target can configure it, and the rollout has not reached
+    /// it yet.
     Wait,
 }
 
@@ -48,13 +49,13 @@
         }
     }
 
-    /// What the policy allows, less what is under way already.
+    /// Returns the limits of the policy less the operations that are in progress.
     fn remaining_budget(
         &self,
         desired: &DesiredState,
         by_slot: &BTreeMap<&str, Vec<&ObservedProcess>>,
     ) -> Budget {
-        let (mut starting, mut moving) = (0, 0);
+        let (mut starting, mut updating) = (0, 0);
         for (slot, processes) in by_slot {
             let serving: Vec<_> =
                 processes.iter().filter(|process| self.is_serving(process)).collect();
@@ -62,12 +63,12 @@
             let reloading = serving.iter().any(|process| self.issued(process).is_some());
             let none_ready = !serving.iter().any(|process| process.ready);
             let can_serve = desired.slots.contains(*slot) && !desired.blocked_slots.contains(*slot);
-            let is_moving = serving.len() > 1 || reloading || (can_serve && none_ready);
-            moving += usize::from(is_moving);
+            let is_updating = serving.len() > 1 || reloading || (can_serve && none_ready);
+            updating += usize::from(is_updating);
         }
         Budget {
             starts: self.policy.max_concurrent_starts.saturating_sub(starting),
-            moves: self.move_limit(desired).saturating_sub(moving),
+            updates: self.update_limit(desired).saturating_sub(updating),
         }
     }
 
@@ -91,7 +92,7 @@
         }
         match self.slot_goal(desired, slot, &serving) {
             SlotGoal::Run(generation) if serving.is_empty() => {
-                // A process that was killed may still be there, and two would serve one slot.
+                // A killed process may not have exited yet, and two processes would serve the slot.
                 let is_dying = |process: &&ObservedProcess| {
                     self.issued(process).is_some_and(|issued| issued.command == Command::Kill)
                 };
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Kills the processes that hang or did not become ready; the others are returned.
+    /// Kills the processes that hang or did not become ready in time, and returns the others.
     fn kill_failed<'a>(
         &mut self,
         now: Duration,
@@ -132,7 +133,7 @@
         serving
     }
 
-    /// Why a process has failed although it runs, if it has.
+    /// Returns the failure of a process that still runs, or `None` if it is healthy.
     fn failure_of(&self, now: Duration, process: &ObservedProcess) -> Option<ProcessFailure> {
         if !process.ready {
             let since = process.started_at.max(self.observing_since);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Whether a process of a slot may be started now.
+    /// Whether the budget, the backoff and the blocked slots allow starting a process for a slot.
     fn can_start(
         &self,
         now: Duration,
@@ -182,11 +183,11 @@
         budget: &Budget,
     ) -> bool {
         budget.starts > 0
-            && self.backoff_is_over(now, slot)
+            && self.is_backoff_over(now, slot)
             && !desired.blocked_slots.contains(slot)
     }
 
-    /// Brings a slot with serving processes to one that runs `generation`.
+    /// Brings a slot with at least one serving process to a single one that runs `generation`.
     fn converge(
         &mut self,
         now: Duration,
@@ -196,24 +197,24 @@
         budget: &mut Budget,
         actions: &mut Vec<Action>,
     ) {
-        let is_right = |process: &ObservedProcess| {
+        let is_current = |process: &ObservedProcess| {
             process.generation == generation && !process.restart_requested
         };
-        // The one to keep: that runs what is wanted, then that is ready, then the oldest.
-        serving.sort_by_key(|process| (!is_right(process), !process.ready, process.id));
+        // Keep a process that runs `generation` if there is one, then a ready one, then the oldest.
+        serving.sort_by_key(|process| (!is_current(process), !process.ready, process.id));
         let Some((keep, others)) = serving.split_first() else { return };
-        if is_right(keep) {
-            self.forget_overdue_command(now, keep);
+        if is_current(keep) {
+            self.clear_expired_command(now, keep);
             for other in others {
                 if keep.ready {
                     self.replace(now, other, actions);
-                } else if is_right(other) {
+                } else if is_current(other) {
                     self.issue(now, other, Command::Kill, actions);
                 }
             }
             return;
         }
-        // None runs what is wanted. One of those that serve is enough meanwhile.
+        // No process runs `generation`. One serving process is enough until a successor does.
         for other in others {
             self.replace(now, other, actions);
         }
@@ -224,15 +225,16 @@
         }
     }
 
-    /// Ends a process that another serves beside: at once if it is not ready.
+    /// Ends a process of a slot that another process serves: by a handover if it is ready, else by a
+    /// kill.
     fn replace(&mut self, now: Duration, process: &ObservedProcess, actions: &mut Vec<Action>) {
         let command = if process.ready { Command::HandOver } else { Command::Kill };
         self.issue(now, process, command, actions);
     }
 
-    /// Forgets a reload of a process that runs what it is to run, once it can't be acted on any
-    /// more.
-    fn forget_overdue_command(&mut self, now: Duration, process: &ObservedProcess) {
+    /// Clears the last command of a process that already runs the right generation once the reload
+    /// timeout has passed.
+    fn clear_expired_command(&mut self, now: Duration, process: &ObservedProcess) {
         let timeout = self.policy.reload_timeout;
         let is_overdue = self
             .issued(process)
@@ -242,8 +244,8 @@
         }
     }
 
-    /// Brings a slot with one serving process to `generation`: by a reload where the process can
-    /// apply it, else by a successor.
+    /// Brings a slot with one serving process to `generation`: by a reload if the process can apply
+    /// it, else by starting a successor.
     fn update(
         &mut self,
         now: Duration,
@@ -254,9 +256,9 @@
         actions: &mut Vec<Action>,
     ) {
         let issued = self.issued(process);
-        // A slot whose process was given any command is counted as moving already.
+        // A slot whose process was given a command already counts as updating in the budget.
         let already_counted = issued.is_some();
-        if !already_counted && budget.moves == 0 {
+        if !already_counted && budget.updates == 0 {
             return;
         }
         let timeout = self.policy.reload_timeout;
@@ -267,12 +269,12 @@
         let rejected = process.rejected_generation == Some(generation) || reload_overdue;
         let same_program = process.program_id == desired.program_of(generation);
         if !process.restart_requested && !rejected && same_program {
-            budget.moves -= usize::from(!already_counted);
+            budget.updates -= usize::from(!already_counted);
             self.issue(now, process, Command::Reload(generation), actions);
             return;
         }
         if self.can_start(now, desired, &process.slot, budget) {
-            budget.moves -= usize::from(!already_counted);
+            budget.updates -= usize::from(!already_counted);
             budget.starts -= 1;
             actions.push(Action::Start { slot: process.slot.clone(), generation });
         }
--- a/crates/fleet/src/spec/error.rs
+++ b/crates/fleet/src/spec/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with `fleet.toml`. The messages name line and key.
+//! Errors of `fleet.toml`. The messages name the line and the key.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,119 +14,119 @@
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file holds something that cannot be used.
+    /// The content of the file is invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What and where.
+        /// The invalid part of the file.
         source: InvalidSpec,
     },
 }
 
-/// Something in the file that cannot be used. Lines are counted from 1.
+/// An invalid part of the file. Lines are counted from 1.
 #[derive(Debug, Error)]
 pub enum InvalidSpec {
-    /// It is not TOML, or not of the expected form.
+    /// The file is not valid TOML, or does not have the expected structure.
     #[error("line {line}: {message}")]
     Syntax {
-        /// Where.
+        /// The line of the error.
         line: usize,
-        /// The parser's message.
+        /// The message of the parser.
         message: String,
     },
-    /// A key has a value that cannot be used.
+    /// The value of a key is invalid.
     #[error("line {line}: {key}: {problem}")]
     Key {
-        /// Where.
+        /// The line of the error.
         line: usize,
         /// The key.
         key: &'static str,
-        /// What was expected.
+        /// The problem with the value.
         problem: KeyProblem,
     },
-    /// All templates together have too many instances.
-    #[error("instances: {MAX_INSTANCES} at most expected, not {count}")]
+    /// The templates have too many instances in total.
+    #[error("instances: must be at most {MAX_INSTANCES} in total, not {count}")]
     TooManyInstances {
-        /// How many they have.
+        /// The number of instances of all templates.
         count: usize,
     },
 }
 
-/// What is wrong with the value of a key.
+/// The problem with the value of a key.
 #[derive(Debug, Error)]
 pub enum KeyProblem {
-    /// The file that it names is not there.
-    #[error("a program expected")]
+    /// The program file does not exist.
+    #[error("must name an existing file")]
     NoProgram,
     /// Two templates have the same name.
-    #[error("a name of its own expected")]
+    #[error("must differ from the names of other templates")]
     DuplicateName,
-    /// A name is too long, empty, or has other characters.
-    #[error("up to 64 letters, digits, dots, dashes expected")]
+    /// A name is empty, too long, or contains characters that are not allowed.
+    #[error("must have 1 to 64 letters, digits, dots, dashes or underscores")]
     InvalidName,
     /// Two instances have the same address.
-    #[error("{address} is another instance's")]
+    #[error("{address} is used by another instance")]
     DuplicateAddress {
-        /// The address.
+        /// The address that occurs twice.
         address: SocketAddr,
     },
-    /// A text is no address with one port or a range of ports.
-    #[error("an address and ports as in 127.0.0.1:4000-4049, not {text:?}")]
+    /// A text is not an address with a port or a range of ports.
+    #[error("must be an address and ports, as in 127.0.0.1:4000-4049, not {text:?}")]
     InvalidAddress {
-        /// The text.
+        /// The text that was found.
         text: String,
     },
     /// A template has more instances than addresses.
-    #[error("{max} at most expected, as many as listen has")]
+    #[error("must be at most {max}, the number of addresses in listen")]
     MoreThanAddresses {
-        /// How many addresses it has.
+        /// The number of addresses of the template.
         max: usize,
     },
     /// A number is too small or too large.
-    #[error("from {min} to {max} expected, not {found}")]
+    #[error("must be from {min} to {max}, not {found}")]
     OutOfRange {
-        /// The smallest number.
+        /// The smallest allowed number.
         min: f64,
-        /// The largest number.
+        /// The largest allowed number.
         max: f64,
         /// The number that was found.
         found: f64,
     },
     /// A count is too small or too large.
-    #[error("from 1 to {MAX_INSTANCES} expected, not {found}")]
+    #[error("must be from 1 to {MAX_INSTANCES}, not {found}")]
     CountOutOfRange {
         /// The count that was found.
         found: usize,
     },
-    /// The file of the settings cannot be read.
+    /// The settings file cannot be read.
     #[error("{}: {source}", path.display())]
     ReadSettings {
-        /// The file.
+        /// The path of the settings file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file of the settings is not JSON.
+    /// The settings file is not valid JSON.
     #[error("{}: {source}", path.display())]
     ParseSettings {
-        /// The file.
+        /// The path of the settings file.
         path: PathBuf,
-        /// Where and why.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The settings cannot be turned into JSON.
+    /// The inline settings cannot be converted to JSON.
     #[error("{0}")]
     ConvertSettings(#[source] serde_json::Error),
     /// The settings are not a JSON object.
-    #[error("an object expected")]
+    #[error("must be an object")]
     SettingsNotAnObject,
-    /// The zone is not one of those that the settings name.
-    #[error("one of settings.zones expected")]
+    /// The zone is not listed in `zones` of the settings.
+    #[error("must be one of settings.zones")]
     UnknownZone,
 }
--- a/crates/fleet/src/spec/file.rs
+++ b/crates/fleet/src/spec/file.rs
@@ -1,4 +1,5 @@
-//! The form of `fleet.toml`.
+//! The structure of `fleet.toml`, as it is deserialized. Values that are validated later keep their
+//! position in the file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +14,7 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct SpecFile {
     pub(super) program: Spanned<PathBuf>,
-    /// Called `rolling` before version 0.2.0.
+    /// Was named `rolling` before version 0.2.0.
     #[serde(default, alias = "rolling")]
     pub(super) rollout: RolloutSection,
     #[serde(default)]
@@ -22,7 +23,8 @@
     pub(super) instances: Vec<Spanned<TemplateSection>>,
 }
 
-/// How a new generation is rolled out.
+/// Limits and timeouts of rollouts. Defaults are those of [`FleetPolicy`], and durations are in
+/// seconds.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct RolloutSection {
@@ -36,7 +38,8 @@
     pub(super) reload_within_s: Spanned<f64>,
 }
 
-/// How instances that failed are started again.
+/// Limits and timeouts of restarts after failures. Defaults are those of [`FleetPolicy`], and
+/// durations are in seconds.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct RestartsSection {
@@ -49,8 +52,8 @@
     pub(super) at_once: Spanned<usize>,
 }
 
-/// A default value, which has no place in the file.
-fn unplaced<T>(value: T) -> Spanned<T> {
+/// Wraps a default value, which has no position in the file.
+fn without_span<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
 
@@ -58,14 +61,14 @@
     fn default() -> RolloutSection {
         let policy = FleetPolicy::default();
         RolloutSection {
-            share: unplaced(policy.max_moving_share),
-            canaries: unplaced(policy.canary_count),
-            watch_s: unplaced(policy.canary_period.as_secs_f64()),
-            margin: unplaced(policy.failure_margin),
-            refusal_margin: unplaced(policy.rejection_margin),
+            share: without_span(policy.max_updating_share),
+            canaries: without_span(policy.canary_count),
+            watch_s: without_span(policy.canary_period.as_secs_f64()),
+            margin: without_span(policy.failure_margin),
+            refusal_margin: without_span(policy.rejection_margin),
             least_requests: policy.min_requests,
-            ready_within_s: unplaced(policy.ready_timeout.as_secs_f64()),
-            reload_within_s: unplaced(policy.reload_timeout.as_secs_f64()),
+            ready_within_s: without_span(policy.ready_timeout.as_secs_f64()),
+            reload_within_s: without_span(policy.reload_timeout.as_secs_f64()),
         }
     }
 }
@@ -74,18 +77,18 @@
     fn default() -> RestartsSection {
         let policy = FleetPolicy::default();
         RestartsSection {
-            first_pause_s: unplaced(policy.initial_backoff.as_secs_f64()),
-            longest_pause_s: unplaced(policy.max_backoff.as_secs_f64()),
+            first_pause_s: without_span(policy.initial_backoff.as_secs_f64()),
+            longest_pause_s: without_span(policy.max_backoff.as_secs_f64()),
             hold_after: policy.crash_loop_threshold,
-            stable_after_s: unplaced(policy.stable_after.as_secs_f64()),
-            silent_after_s: unplaced(policy.silence_timeout.as_secs_f64()),
-            hung_after_s: unplaced(policy.stall_timeout.as_secs_f64()),
-            at_once: unplaced(policy.max_concurrent_starts),
+            stable_after_s: without_span(policy.stable_after.as_secs_f64()),
+            silent_after_s: without_span(policy.silence_timeout.as_secs_f64()),
+            hung_after_s: without_span(policy.stall_timeout.as_secs_f64()),
+            at_once: without_span(policy.max_concurrent_starts),
         }
     }
 }
 
-/// Instances that differ in number and address alone.
+/// A template: instances that differ only in their number and address.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TemplateSection {
@@ -100,7 +103,7 @@
     pub(super) settings: Spanned<SettingsSource>,
 }
 
-/// One range of addresses, or several.
+/// One or several ranges of addresses.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(super) enum ListenAddresses {
@@ -109,7 +112,7 @@
 }
 
 impl ListenAddresses {
-    /// The ranges as they are written.
+    /// Returns the ranges as they are written in the file.
     pub(super) fn ranges(&self) -> &[String] {
         match self {
             ListenAddresses::One(range) => std::slice::from_ref(range),
@@ -118,7 +121,7 @@
     }
 }
 
-/// The limits of one instance.
+/// The resource limits of an instance.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LimitsSection {
@@ -126,12 +129,12 @@
     pub(super) sockets: u64,
 }
 
-/// Where the settings are.
+/// The settings of a template, or the path of their file.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(super) enum SettingsSource {
-    /// In a JSON file.
+    /// A JSON file.
     File(PathBuf),
-    /// In the specification itself.
+    /// A table in `fleet.toml` itself.
     Inline(toml::Table),
 }
--- a/crates/fleet/src/spec/mod.rs
+++ b/crates/fleet/src/spec/mod.rs
@@ -1,5 +1,5 @@
-//! `fleet.toml`: the desired state of a fleet. It is read and checked as a whole, and turned into one
-//! configuration per instance.
+//! The desired state of a fleet, which `fleet.toml` specifies. The file is read and validated as a whole,
+//! and yields one configuration per instance.
 
 mod error;
 mod file;
@@ -20,18 +20,18 @@
 
 pub use error::{InvalidSpec, KeyProblem, SpecError};
 
-/// The most instances of one host.
+/// The largest number of instances on one host.
 const MAX_INSTANCES: usize = 2000;
-/// The deadline, in microseconds, of requests whose class names none.
+/// The deadline, in microseconds, of requests whose class has none.
 const DEFAULT_DEADLINE_US: u64 = 3_000_000;
-/// The platform lets an instance take so much longer to drain than its longest deadline.
+/// The time beyond its longest deadline that the platform gives an instance to drain.
 const DRAIN_GRACE: Duration = Duration::from_millis(1500);
 
-/// The desired state, checked and complete: it means the same however the files that it was read
-/// from change later. Part of the stored state: the stored names are those of version 0.2.0.
+/// A validated desired state. It is self-contained: later changes of the files that it was read from do
+/// not affect it. It is part of the stored state; the serialized names are those of version 0.2.0.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Spec {
-    /// The program of the instances.
+    /// The path of the program that the instances run.
     pub program: PathBuf,
     /// The templates of the instances.
     pub templates: Vec<Template>,
@@ -39,14 +39,15 @@
     policy: FleetPolicy,
 }
 
-/// Instances that differ in number and address alone.
+/// A group of instances that differ only in their number and address.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Template {
-    /// The first part of the instances' names.
+    /// The prefix of the names of the instances.
     pub name: String,
-    /// How many instances there are.
+    /// The number of instances.
     pub count: usize,
-    /// Where they listen, in order; with a port of 0 the system chooses one for each.
+    /// The addresses of the listeners, in the order of the instances. A port of 0 lets the system choose
+    /// a port for each instance.
     pub listen: Vec<SocketAddr>,
     discovery: SocketAddr,
     #[serde(rename = "first")]
@@ -57,16 +58,16 @@
 }
 
 impl Template {
-    /// How many instances there are addresses for.
+    /// Returns the number of instances for which there are addresses.
     pub fn max_count(&self) -> usize {
-        if self.has_any_port() { MAX_INSTANCES } else { self.listen.len() }
+        if self.has_ephemeral_port() { MAX_INSTANCES } else { self.listen.len() }
     }
 
-    fn has_any_port(&self) -> bool {
+    fn has_ephemeral_port(&self) -> bool {
         self.listen.iter().any(|address| address.port() == 0)
     }
 
-    /// The longest deadline of the classes in the settings.
+    /// Returns the longest deadline of the classes in the settings.
     fn longest_deadline(&self) -> Option<Duration> {
         let classes = self.settings["classes"].as_array()?;
         let deadlines = classes.iter().filter_map(|class| class["deadline"].as_u64());
@@ -75,11 +76,11 @@
 }
 
 impl Spec {
-    /// Reads and checks a file. Paths in it are relative to its folder.
+    /// Reads and validates a file. Paths in it are relative to its directory.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or what it says cannot be used.
+    /// When the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Spec, SpecError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SpecError::Read { path: path.to_owned(), source })?;
@@ -88,18 +89,19 @@
             .map_err(|source| SpecError::Invalid { path: path.to_owned(), source })
     }
 
-    /// How the fleet is run.
+    /// Returns the limits and timeouts of the fleet.
     pub fn policy(&self) -> FleetPolicy {
         FleetPolicy { drain_timeout: self.drain_timeout(), ..self.policy.clone() }
     }
 
-    /// How long an instance may take to complete the requests that it has.
+    /// Returns the time within which an instance must complete its requests when it drains.
     fn drain_timeout(&self) -> Duration {
         let longest = self.templates.iter().filter_map(Template::longest_deadline).max();
         longest.unwrap_or(Duration::from_micros(DEFAULT_DEADLINE_US)) + DRAIN_GRACE
     }
 
-    /// The names of all slots. `count_overrides` replace the counts of their templates.
+    /// Returns the names of all slots. `count_overrides` has numbers of instances by template, which
+    /// replace those of the templates.
     pub fn slots(&self, count_overrides: &BTreeMap<String, usize>) -> BTreeSet<String> {
         let slots_of = |template: &Template| {
             let count = count_overrides.get(&template.name).copied().unwrap_or(template.count);
@@ -109,7 +111,7 @@
         self.templates.iter().flat_map(slots_of).collect()
     }
 
-    /// A slot's template, and its number there.
+    /// Returns the template of a slot and the number of the slot in it.
     fn template_of(&self, slot: &str) -> Option<(&Template, usize)> {
         let (name, number) = slot.rsplit_once('-')?;
         let number = number.parse().ok()?;
@@ -117,20 +119,20 @@
         (number < template.max_count()).then_some((template, number))
     }
 
-    /// Whether this can configure a slot.
+    /// Whether this desired state has a configuration for a slot.
     pub fn has_slot(&self, slot: &str) -> bool {
         self.template_of(slot).is_some()
     }
 
-    /// Where a slot is to listen, if this can configure it.
+    /// Returns the address on which a slot should listen, or `None` if there is no such slot.
     pub fn listen(&self, slot: &str) -> Option<SocketAddr> {
         let (template, number) = self.template_of(slot)?;
-        let index = if template.has_any_port() { 0 } else { number };
+        let index = if template.has_ephemeral_port() { 0 } else { number };
         template.listen.get(index).copied()
     }
 
-    /// The configuration of a slot that listens at `address`, if this can configure it. `seed` is
-    /// for what the instance draws at random.
+    /// Returns the configuration of a slot that listens at `address`, or `None` if there is no such slot.
+    /// `seed` seeds the random numbers of the instance.
     pub fn configuration(
         &self,
         slot: &str,
--- a/crates/fleet/src/spec/tests.rs
+++ b/crates/fleet/src/spec/tests.rs
@@ -1,4 +1,4 @@
-//! Reading and checking `fleet.toml`.
+//! Tests of reading and validating `fleet.toml`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -29,13 +29,13 @@
 classes = [{ name = "x", deadline = 2_000_000 }]
 "#;
 
-fn parsed(text: &str) -> Result<Spec, InvalidSpec> {
+fn parse(text: &str) -> Result<Spec, InvalidSpec> {
     validate(text, Path::new("/"))
 }
 
 #[test]
-fn valid_file_is_turned_into_one_configuration_per_instance() {
-    let spec = parsed(VALID).expect("valid");
+fn valid_file_yields_one_configuration_per_instance() {
+    let spec = parse(VALID).expect("valid");
     let slots: Vec<_> = spec.slots(&BTreeMap::new()).into_iter().collect();
     assert_eq!(slots, ["club-0", "club-1", "club-2"]);
     let at = spec.listen("club-2").expect("an address");
@@ -57,7 +57,7 @@
 
 #[test]
 fn errors_name_line_and_key() {
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         ("share = 0.2", "share = 2.0", "line 5: rollout.share"),
         ("share = 0.2", "shore = 0.2", "line 5: unknown field `shore`"),
         ("count = 3", "count = 4", "line 9: count"),
@@ -70,10 +70,10 @@
         ("[instances.settings]", "settings = \"none.json\"\n[rest]", "line 16: unknown field"),
     ] {
         assert!(VALID.contains(from));
-        let message = parsed(&VALID.replace(from, to)).expect_err(to).to_string();
-        assert!(message.contains(wanted) || message.starts_with("line "), "{message}");
-        assert!(message.contains(wanted.split(": ").last().expect("text")), "{to}: {message}");
+        let message = parse(&VALID.replace(from, to)).expect_err(to).to_string();
+        assert!(message.contains(expected) || message.starts_with("line "), "{message}");
+        assert!(message.contains(expected.split(": ").last().expect("text")), "{to}: {message}");
     }
     let twice = format!("{VALID}\n{}", VALID.split_once("[[").map_or("", |p| p.1));
-    assert!(parsed(&twice.replace("\n[instances]]", "\n[[instances]]")).is_err());
+    assert!(parse(&twice.replace("\n[instances]]", "\n[[instances]]")).is_err());
 }
--- a/crates/fleet/src/spec/validation.rs
+++ b/crates/fleet/src/spec/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of the values in `fleet.toml`.
+//! Validates the values in `fleet.toml` and builds the desired state from them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,12 +14,13 @@
 use super::{MAX_INSTANCES, Spec, Template};
 use crate::planner::FleetPolicy;
 
+/// The length limit of the name of a template, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// Checks a specification's text. Paths in it are relative to `folder`.
+/// Parses and validates the text of a specification. Paths in it are relative to `folder`.
 pub(super) fn validate(text: &str, folder: &Path) -> Result<Spec, InvalidSpec> {
     let file: SpecFile = toml::from_str(text).map_err(|error| InvalidSpec::Syntax {
-        line: error.span().map_or(1, |place| line_of(text, &place)),
+        line: error.span().map_or(1, |span| line_of(text, &span)),
         message: error.message().to_owned(),
     })?;
     Validator { text, folder }.spec(&file)
@@ -31,8 +32,8 @@
 }
 
 impl Validator<'_> {
-    fn error<T>(&self, place: &Spanned<T>, key: &'static str, problem: KeyProblem) -> InvalidSpec {
-        InvalidSpec::Key { line: line_of(self.text, &place.span()), key, problem }
+    fn error<T>(&self, value: &Spanned<T>, key: &'static str, problem: KeyProblem) -> InvalidSpec {
+        InvalidSpec::Key { line: line_of(self.text, &value.span()), key, problem }
     }
 
     fn spec(&self, file: &SpecFile) -> Result<Spec, InvalidSpec> {
@@ -52,7 +53,7 @@
             .ok_or_else(|| self.error(program, "program", KeyProblem::NoProgram))
     }
 
-    fn between(
+    fn in_range(
         &self,
         value: &Spanned<f64>,
         key: &'static str,
@@ -71,7 +72,7 @@
         key: &'static str,
         range: Range<f64>,
     ) -> Result<Duration, InvalidSpec> {
-        self.between(value, key, range).map(Duration::from_secs_f64)
+        self.in_range(value, key, range).map(Duration::from_secs_f64)
     }
 
     fn count(&self, value: &Spanned<usize>, key: &'static str) -> Result<usize, InvalidSpec> {
@@ -89,11 +90,11 @@
     ) -> Result<FleetPolicy, InvalidSpec> {
         let r = rollout;
         let mut policy = FleetPolicy {
-            max_moving_share: self.between(&r.share, "rollout.share", 0.001..1.0)?,
+            max_updating_share: self.in_range(&r.share, "rollout.share", 0.001..1.0)?,
             canary_count: self.count(&r.canaries, "rollout.canaries")?,
             canary_period: self.seconds(&r.watch_s, "rollout.watch_s", 0.0..3600.0)?,
-            failure_margin: self.between(&r.margin, "rollout.margin", 0.0..1.0)?,
-            rejection_margin: self.between(
+            failure_margin: self.in_range(&r.margin, "rollout.margin", 0.0..1.0)?,
+            rejection_margin: self.in_range(
                 &r.refusal_margin,
                 "rollout.refusal_margin",
                 0.0..1.0,
@@ -203,15 +204,15 @@
         listen: &[SocketAddr],
     ) -> Result<usize, InvalidSpec> {
         let count = *section.count.as_ref();
-        let any_port = listen.iter().any(|address| address.port() == 0);
-        if count <= MAX_INSTANCES && (any_port || count <= listen.len()) {
+        let has_ephemeral_port = listen.iter().any(|address| address.port() == 0);
+        if count <= MAX_INSTANCES && (has_ephemeral_port || count <= listen.len()) {
             return Ok(count);
         }
         let problem = KeyProblem::MoreThanAddresses { max: listen.len().min(MAX_INSTANCES) };
         Err(self.error(&section.count, "count", problem))
     }
 
-    /// The settings of a template, with its zone and the number of instances filled in.
+    /// Returns the settings of a template, with its zone and the number of instances filled in.
     fn settings(&self, section: &TemplateSection, count: usize) -> Result<Value, InvalidSpec> {
         let error = |problem| self.error(&section.settings, "settings", problem);
         let mut settings = self.read_settings(section.settings.as_ref()).map_err(error)?;
@@ -246,12 +247,13 @@
     }
 }
 
-/// The line on which a place of a text is, from 1.
-fn line_of(text: &str, place: &Range<usize>) -> usize {
-    text.as_bytes().iter().take(place.start).filter(|byte| **byte == b'\n').count() + 1
+/// Returns the line of the start of a range of a text, counted from 1.
+fn line_of(text: &str, range: &Range<usize>) -> usize {
+    text.as_bytes().iter().take(range.start).filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// Parses `127.0.0.1:4000` or `127.0.0.1:4000-4049`.
+/// Parses an address with a port or a range of ports, such as `127.0.0.1:4000-4049`. Returns `None` if
+/// the text is malformed.
 fn parse_addresses(text: &str) -> Option<Vec<SocketAddr>> {
     let (first, last_port) = match text.rsplit_once('-') {
         Some((first, last)) => (first, Some(last.parse::<u16>().ok()?)),
--- a/crates/fleet/tests/compatibility.rs
+++ b/crates/fleet/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! What the daemon, its tools and the sidecars of version 0.2.0 stored and sent is read, and written
-//! again unchanged. The fixtures were recorded from those programs and are not rewritten.
+//! Checks that the data which the daemon, its tools and the sidecars of version 0.2.0 stored and sent is
+//! parsed, and serialized again unchanged. The fixtures were recorded from those programs and must not be
+//! changed.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn recorded_ledgers_are_read_and_written_unchanged() {
+fn recorded_states_are_read_and_written_unchanged() {
     for name in ["settled.json", "in-a-rollout.json", "in-an-upgrade.json"] {
         let recorded = fixture("ledger", name);
         let state: PersistentState = serde_json::from_str(&recorded).expect(name);
@@ -44,29 +45,29 @@
 }
 
 #[test]
-fn recorded_ledgers_hold_each_field_that_is_stored() {
-    let ledger: Value =
+fn recorded_states_contain_every_stored_field() {
+    let stored: Value =
         serde_json::from_str(&fixture("ledger", "in-a-rollout.json")).expect("JSON");
-    assert_ne!(ledger["target"], ledger["base"]);
-    assert!(ledger["read"].is_object());
-    assert_eq!(ledger["drained"], json!(["eindhoven-0"]));
-    assert_eq!(ledger["generations"]["1"]["counts"], json!({"utrecht": 3}));
-    assert!(ledger["history"].as_array().is_some_and(|history| !history.is_empty()));
+    assert_ne!(stored["target"], stored["base"]);
+    assert!(stored["read"].is_object());
+    assert_eq!(stored["drained"], json!(["eindhoven-0"]));
+    assert_eq!(stored["generations"]["1"]["counts"], json!({"utrecht": 3}));
+    assert!(stored["history"].as_array().is_some_and(|history| !history.is_empty()));
 }
 
 #[test]
-fn ledger_without_rules_that_came_later_is_read_with_their_defaults() {
-    let mut ledger: Value = serde_json::from_str(&fixture("ledger", "settled.json")).expect("JSON");
-    let expected = ledger.clone();
-    for rule in ["refusal_margin", "hung_after"] {
-        let rules = ledger["read"]["rules"].as_object_mut().expect("rules");
-        assert!(rules.remove(rule).is_some(), "{rule}");
+fn state_without_fields_of_later_versions_is_read_with_their_defaults() {
+    let mut stored: Value = serde_json::from_str(&fixture("ledger", "settled.json")).expect("JSON");
+    let expected = stored.clone();
+    for field in ["refusal_margin", "hung_after"] {
+        let policy = stored["read"]["rules"].as_object_mut().expect("rules");
+        assert!(policy.remove(field).is_some(), "{field}");
     }
-    let state: PersistentState = serde_json::from_value(ledger).expect("an earlier ledger");
+    let state: PersistentState = serde_json::from_value(stored).expect("an earlier state");
     assert_eq!(serde_json::to_value(&state).expect("JSON"), expected);
 }
 
-/// Reads a recorded `fleet.toml` with a program that exists here.
+/// Reads a recorded `fleet.toml`, with its program replaced by one that exists on this machine.
 fn read_spec(name: &str) -> Value {
     let folder = Folder::new("compatibility");
     let program = folder.path().join("program");
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn recorded_desired_states_are_read_as_before() {
+fn recorded_specifications_are_read_unchanged() {
     for name in ["sample", "all-keys", "rolling"] {
         let recorded = fixture("spec", &format!("{name}.json"));
         let recorded: Value = serde_json::from_str(&recorded).expect("JSON");
@@ -98,7 +99,7 @@
     }
 }
 
-/// The names of all recorded exchanges on the daemon's socket.
+/// Returns the names of all recorded exchanges on the control socket.
 fn exchanges() -> BTreeSet<String> {
     let files = fs::read_dir(fixtures("control")).expect("the fixtures");
     let names = files.map(|file| file.expect("an entry").file_name());
@@ -122,7 +123,7 @@
     assert_eq!(kinds.into_iter().collect::<Vec<_>>(), all);
 }
 
-/// The error that the daemon gave in a recorded exchange.
+/// Returns the error that the daemon answered in a recorded exchange.
 fn recorded_error(exchange: &str) -> RequestError {
     match exchange {
         "drain-unknown-instance" => RequestError::UnknownSlot { slot: "nobody-9".to_owned() },
@@ -195,7 +196,7 @@
     }
 }
 
-/// A connection to the process that keeps listeners.
+/// Connects to the socket holder.
 fn connect_to_holder(path: &Path) -> OwnedFd {
     let connection =
         socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None)
@@ -227,9 +228,9 @@
     (String::from_utf8_lossy(&text[..got.bytes]).into_owned(), descriptor)
 }
 
-/// The process that keeps listeners outlives the daemon, so a daemon of another version speaks to it.
+/// The socket holder outlives the daemon, so a daemon of another version may connect to it.
 #[test]
-fn messages_to_the_process_that_keeps_listeners_are_unchanged() {
+fn messages_to_the_socket_holder_are_unchanged() {
     let folder = Folder::new("compatibility");
     let path = folder.path().join("holder.sock");
     let socket =
@@ -260,17 +261,20 @@
     assert!(process.wait().expect("a child").success());
 }
 
-/// A daemon finds the instances that a daemon before it started by a variable in their environment.
+/// A daemon finds the instances that a previous daemon started by a variable in their environment.
 #[test]
-fn instances_that_an_earlier_daemon_started_are_found() {
+fn instances_started_by_a_previous_daemon_are_found() {
     let folder = Folder::new("compatibility");
-    let mark = format!("{}|utrecht-0|3|2", folder.path().display());
+    let identity = format!("{}|utrecht-0|3|2", folder.path().display());
     for variable in ["LB_FLEET", "PLANKVALE_FLEET"] {
         let mut command = Command::new("sleep");
-        let mut child = command.arg("600").env(variable, &mark).spawn().expect("it starts");
+        let mut child = command.arg("600").env(variable, &identity).spawn().expect("it starts");
         until("it is found", || find_instances(folder.path()).len() == 1);
-        let (mark, process) = find_instances(folder.path()).remove(0);
-        assert_eq!((mark.slot.as_str(), mark.generation, mark.program_id), ("utrecht-0", 3, 2));
+        let (identity, process) = find_instances(folder.path()).remove(0);
+        assert_eq!(
+            (identity.slot.as_str(), identity.generation, identity.program_id),
+            ("utrecht-0", 3, 2)
+        );
         assert_eq!(process.pid, child.id());
         child.kill().and_then(|()| child.wait()).expect("a child of ours");
     }
--- a/crates/fleet/tests/planner/decision_hash.rs
+++ b/crates/fleet/tests/planner/decision_hash.rs
@@ -1,4 +1,4 @@
-//! A hash over what the planner is given and what it decides.
+//! A hash over the planner's inputs and actions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use fleet::planner::{Action, DesiredState, ObservedProcess, Shutdown, Subject};
 use fleet::stall::Stall;
 
-/// A hash (FNV-1a) over everything that the planner is given and everything that it decides, but for
-/// the wording of reasons and notes.
+/// An FNV-1a hash over all of the planner's inputs and actions, except the reasons of rollbacks and the
+/// content of events.
 pub struct DecisionHash(pub u64);
 
 impl DecisionHash {
--- a/crates/fleet/tests/planner/faults.rs
+++ b/crates/fleet/tests/planner/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and changes that are drawn from the seed of a simulated host.
+//! Random faults and changes of the desired state, determined by the seed of the simulated host.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 use fleet::stall::Stall;
 use rand::Rng;
 
-use crate::world::{BAD, Bad, SimulatedProcess, World, policy};
+use crate::world::{ALL_DEFECTS, Defect, SimulatedProcess, World, policy};
 
-/// Nothing fails after this.
+/// The simulated time after which no faults are injected.
 pub const FAULTS_END: Duration = Duration::from_secs(60);
 
-/// A change of the desired state.
+/// A new generation in the desired state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Change {
-    /// How the new generation is not good, if it is not.
-    pub bad: Option<Bad>,
-    /// No process can apply it without a restart.
+    /// The defect of the new generation, or `None` if it works.
+    pub defect: Option<Defect>,
+    /// Whether no process can apply it without a restart.
     pub needs_restart: bool,
-    /// It has another program.
+    /// Whether it has another program.
     pub new_program: bool,
 }
 
 impl World {
-    /// Plays the part of the history in which faults happen.
+    /// Runs the simulation until [`FAULTS_END`], with random faults.
     pub fn run_through_faults(&mut self) {
         while self.now < FAULTS_END {
             self.step();
@@ -34,7 +34,7 @@
         self.desired.blocked_slots.clear();
     }
 
-    /// Injects one fault or change.
+    /// Injects a random fault or change.
     pub fn inject_fault(&mut self) {
         match self.rng.random_range(0..13) {
             0 | 1 => self.crash_process(),
@@ -45,18 +45,22 @@
                 }
             }
             4 => self.restart_daemon(),
-            // Where nothing is to run, nothing shows that a generation is bad.
+            // Without slots a defect cannot be detected.
             5 if !self.desired.slots.is_empty() => {
-                let bad = Some(BAD[self.rng.random_range(0..BAD.len())]);
-                self.change_desired(Change { bad, needs_restart: true, new_program: false });
+                let defect = Some(ALL_DEFECTS[self.rng.random_range(0..ALL_DEFECTS.len())]);
+                self.change_desired(Change { defect, needs_restart: true, new_program: false });
             }
             6 => self.change_desired(Change::default()),
             7 => {
-                self.change_desired(Change { bad: None, needs_restart: true, new_program: true });
+                self.change_desired(Change {
+                    defect: None,
+                    needs_restart: true,
+                    new_program: true,
+                });
             }
             8 if self.desired.target == self.desired.stable => {
                 let count = self.rng.random_range(0..10);
-                // Moves that were begun under a larger limit go on.
+                // Updates that were begun under a larger limit continue.
                 self.limit_exceeded_since = self.now;
                 self.desired.slots = (0..count).map(|n| format!("s-{n}")).collect();
             }
@@ -67,7 +71,7 @@
             }
             10 => self.block_or_unblock_slot(),
             11 if self.desired.target != self.desired.stable => {
-                // Operators undo the rollout.
+                // An operator undoes the rollout.
                 let generation = self.desired.target;
                 self.carry_out(Action::RollBack { generation, reason: RollbackReason::Requested });
             }
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Gives the daemon a new generation to roll out.
+    /// Makes a new generation the target, unless a rollout is in progress.
     pub fn change_desired(&mut self, change: Change) {
         if self.desired.target != self.desired.stable {
             // The daemon rejects a reload while a rollout runs.
@@ -125,8 +129,8 @@
         self.generations += 1;
         self.log.push(format!("{:?}: desired {} {change:?}", self.now, self.generations));
         self.desired.target = self.generations;
-        if let Some(bad) = change.bad {
-            self.bad.insert(self.generations, bad);
+        if let Some(defect) = change.defect {
+            self.defects.insert(self.generations, defect);
         }
         if change.needs_restart {
             self.needing_restart.insert(self.generations);
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Replaces the planner by one that remembers nothing, and adopts all processes.
+    /// Replaces the planner by a new one, and adopts all processes.
     pub fn restart_daemon(&mut self) {
         self.log.push(format!("{:?}: the daemon is replaced", self.now));
         self.planner = Planner::new(policy(), self.rng.random());
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Whether faults are injected now.
+    /// Whether faults are injected at this time. Settled worlds, whose seed is `u64::MAX`, have none.
     pub fn faults_are_on(&self) -> bool {
         self.now < FAULTS_END && self.seed != u64::MAX
     }
--- a/crates/fleet/tests/planner/main.rs
+++ b/crates/fleet/tests/planner/main.rs
@@ -1,9 +1,9 @@
-//! Random histories of a fleet: crashes, hangs, starvation, lost signals, desired states that change,
-//! daemons that die. After every call the planner's actions are checked against what may never
-//! happen; once faults stop, the desired state is reached.
+//! Tests of the planner on a simulated host, with random crashes, hangs, starvation, lost signals,
+//! changes of the desired state and restarts of the daemon. After every call the planner's actions are
+//! checked against invariants; once faults stop, the desired state must be reached.
 //!
-//! `PLANNER_SEEDS=20000 cargo test --release -p fleet --test planner` runs more of them,
-//! `PLANNER_SEED=7` one alone.
+//! `PLANNER_SEEDS=20000 cargo test --release -p fleet --test planner` runs more seeds than by default,
+//! `PLANNER_SEED=7` a single one.
 
 mod decision_hash;
 mod faults;
@@ -17,10 +17,10 @@
 
 use decision_hash::DecisionHash;
 use faults::Change;
-use world::{BAD, Bad, SimulatedProcess, World};
+use world::{ALL_DEFECTS, Defect, SimulatedProcess, World};
 
-/// The hash of everything that the planner was given and decided with seeds 0 to 99. Only a commit
-/// that changes the planner's behaviour on purpose may change it.
+/// The hash of the planner's inputs and actions with seeds 0 to 99. Only a commit that changes the
+/// planner's behaviour on purpose may change it.
 const DECISIONS_OF_FIRST_100_SEEDS: u64 = 0xdd8a_2f52_d746_be66;
 
 #[test]
@@ -63,31 +63,35 @@
 fn good_generation_is_rolled_out_to_one_canary_and_then_in_waves() {
     for (needs_restart, new_program) in [(false, false), (true, false), (false, true)] {
         let mut world = settled_world(20);
-        world.change_desired(Change { bad: None, needs_restart, new_program });
-        let mut moved_before_waves = 0;
+        world.change_desired(Change { defect: None, needs_restart, new_program });
+        let mut updated_before_waves = 0;
         while world.completed.is_empty() {
-            let moved = world
+            let updated = world
                 .processes
                 .values()
                 .filter(|simulated| simulated.process.generation == 2)
                 .count();
             if !world.planner.rollout_progress().is_some_and(|p| p.waves) {
-                moved_before_waves = moved_before_waves.max(moved);
+                updated_before_waves = updated_before_waves.max(updated);
             }
             world.step();
             world.check(world.now < Duration::from_secs(300), "not settled");
         }
         world.run_to_the_desired_state();
-        assert_eq!((moved_before_waves, world.completed), (1, vec![2]));
+        assert_eq!((updated_before_waves, world.completed), (1, vec![2]));
         assert!(world.rolled_back.is_empty());
     }
 }
 
 #[test]
-fn bad_generation_reaches_the_canary_only_and_is_rolled_back() {
-    for bad in BAD {
+fn defective_generation_reaches_the_canary_only_and_is_rolled_back() {
+    for defect in ALL_DEFECTS {
         let mut world = settled_world(20);
-        world.change_desired(Change { bad: Some(bad), needs_restart: true, new_program: true });
+        world.change_desired(Change {
+            defect: Some(defect),
+            needs_restart: true,
+            new_program: true,
+        });
         let mut touched = BTreeSet::new();
         while world.rolled_back.is_empty() {
             world.step();
@@ -96,12 +100,12 @@
             touched.extend(new.map(|simulated| simulated.process.slot.clone()));
             world.check(world.now < Duration::from_secs(120), "not rolled back");
         }
-        if bad == Bad::Ends {
+        if defect == Defect::Ends {
             let reason = world.rolled_back[0].1.to_string();
             assert!(reason.contains("ended before it was ready"), "{reason}");
         }
         world.run_to_the_desired_state();
-        assert_eq!(touched.len(), 1, "{bad:?}");
+        assert_eq!(touched.len(), 1, "{defect:?}");
         assert_eq!(world.desired.target, 1);
     }
 }
@@ -109,7 +113,7 @@
 #[test]
 fn crash_looping_slot_is_restarted_at_the_longest_backoff() {
     let mut world = settled_world(3);
-    world.bad.insert(1, Bad::Ends);
+    world.defects.insert(1, Defect::Ends);
     let slot = world.desired.slots.first().expect("a slot").clone();
     let id = world.processes_of(&slot).next().expect("it serves").process.id;
     world.processes.remove(&id.0);
@@ -118,10 +122,10 @@
         world.step();
     }
     let starts = world.next - before;
-    // In 300 s: six quick ones, then one in 15 to 30 s.
+    // In 300 s: six starts in quick succession, then one every 15 to 30 s.
     assert!((12..=28).contains(&starts), "{starts} starts");
     assert_eq!(world.planner.slot_health(world.now, &slot).restart_state, RestartState::CrashLoop);
-    world.bad.clear();
+    world.defects.clear();
     world.run_to_the_desired_state();
     for _ in 0..120 {
         world.step();
@@ -159,7 +163,7 @@
     world.change_desired(Change::default());
     world.run_to_the_desired_state();
     let before: Vec<u64> = world.processes.keys().copied().collect();
-    // All run generation 2, and were started with 1.
+    // All processes run generation 2, but were started with 1.
     for _ in 0..3 {
         world.restart_daemon();
         world.run_to_the_desired_state();
@@ -173,7 +177,7 @@
     let before: Vec<u64> = world.processes.keys().copied().collect();
     for _ in 0..3 {
         world.now += Duration::from_secs(3600);
-        // The first call comes before any report.
+        // The first call after the gap comes before any report.
         let observed: Vec<ObservedProcess> =
             world.processes.values().map(SimulatedProcess::observed).collect();
         assert_eq!(world.planner.reconcile(world.now, &world.desired, &observed), Vec::new());
--- a/crates/fleet/tests/planner/world.rs
+++ b/crates/fleet/tests/planner/world.rs
@@ -1,5 +1,5 @@
-//! A simulated host: processes, faults drawn from a seed, and a daemon that carries out what the
-//! planner decides. After every call the planner's actions are checked against what may never happen.
+//! A simulated host with processes, random faults and a daemon that carries out the planner's actions.
+//! After every call of the planner its actions are checked against invariants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,24 +15,26 @@
 use crate::decision_hash::DecisionHash;
 use crate::faults::FAULTS_END;
 
+/// The simulated time between two calls of the planner.
 pub const STEP: Duration = Duration::from_millis(100);
+/// The simulated time within which the desired state must be reached once faults have stopped.
 pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(360);
 
-/// A process and what it will do.
+/// A simulated process and its future behaviour. Times are simulated.
 #[derive(Clone, Debug)]
 pub struct SimulatedProcess {
     pub process: ObservedProcess,
-    /// What it was started with: all that can be observed of it before it reports.
+    /// The generation that it was started with, which is observed until its first report.
     pub started_with: u64,
     pub ready_at: Option<Duration>,
     pub reload: Option<(u64, Duration)>,
     pub hung: bool,
     /// The stall that the system shows once it hangs.
     pub visible_stall: Option<Stall>,
-    /// It is healthy and gets no CPU time until then.
+    /// The end of the time in which it is healthy and gets no CPU time.
     pub starved_until: Duration,
     pub ignores_signals: bool,
-    /// The daemon told it to end, whether or not it acts on that.
+    /// Whether the daemon told it to exit, even if it ignores that.
     pub told_to_end: bool,
     pub ends_at: Option<Duration>,
     pub killed: bool,
@@ -45,16 +47,16 @@
         ObservedProcess { generation, ..self.process.clone() }
     }
 
-    /// Reports, with so many more requests answered.
-    fn report(&mut self, now: Duration, answered: u64, bad: Option<Bad>) {
+    /// Sends a report with `answered` more requests.
+    fn report(&mut self, now: Duration, answered: u64, defect: Option<Defect>) {
         let process = &mut self.process;
         process.ready = true;
         process.awaiting_report = false;
         process.last_report_at = now;
         process.requests.total += answered;
-        match bad {
-            Some(Bad::FailsRequests) => process.requests.failed += answered,
-            Some(Bad::RejectsRequests) => process.requests.rejected += answered,
+        match defect {
+            Some(Defect::FailsRequests) => process.requests.failed += answered,
+            Some(Defect::RejectsRequests) => process.requests.rejected += answered,
             _ => {}
         }
     }
@@ -73,12 +75,12 @@
     pub desired: DesiredState,
     pub processes: BTreeMap<u64, SimulatedProcess>,
     pub next: u64,
-    /// Generations that are not good.
-    pub bad: BTreeMap<u64, Bad>,
+    /// The defects of generations that do not work.
+    pub defects: BTreeMap<u64, Defect>,
     /// Generations that a process cannot apply without a restart.
     pub needing_restart: BTreeSet<u64>,
     pub generations: u64,
-    /// From then on, for a while, more slots may be moving than the policy allows.
+    /// The time from which more slots than the policy allows may be updating, for a while.
     pub limit_exceeded_since: Duration,
     pub log: Vec<String>,
     pub rolled_back: Vec<(u64, RollbackReason)>,
@@ -87,18 +89,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bad {
+pub enum Defect {
     Ends,
     NeverReady,
     FailsRequests,
     RejectsRequests,
 }
 
-pub const BAD: [Bad; 4] = [Bad::Ends, Bad::NeverReady, Bad::FailsRequests, Bad::RejectsRequests];
+pub const ALL_DEFECTS: [Defect; 4] =
+    [Defect::Ends, Defect::NeverReady, Defect::FailsRequests, Defect::RejectsRequests];
 
 pub fn policy() -> FleetPolicy {
     FleetPolicy {
-        max_moving_share: 0.25,
+        max_updating_share: 0.25,
         canary_period: Duration::from_secs(2),
         ..FleetPolicy::default()
     }
@@ -123,7 +126,7 @@
             desired,
             processes: BTreeMap::new(),
             next: 0,
-            bad: BTreeMap::new(),
+            defects: BTreeMap::new(),
             needing_restart: BTreeSet::new(),
             generations: 1,
             limit_exceeded_since: Duration::ZERO,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Fails the test, with the last entries of the log.
+    /// Fails the test, and prints the last entries of the log.
     pub fn fail(&self, what: &str) -> ! {
         let from = self.log.len().saturating_sub(60);
         panic!("seed {}, at {:?}: {what}\n{}", self.seed, self.now, self.log[from..].join("\n"));
@@ -146,17 +149,17 @@
         }
     }
 
-    /// Draws true with a probability of `share`.
-    pub fn chance(&mut self, share: f64) -> bool {
-        self.rng.random_bool(share)
+    /// Returns true with the given probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
-    /// Draws a time between two numbers of milliseconds.
+    /// Returns a random time from `from` to `to` milliseconds.
     pub fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(self.rng.random_range(from..to))
     }
 
-    /// One step of the simulated time, then one call of the planner.
+    /// Advances the simulated time by [`STEP`] and calls the planner.
     pub fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
@@ -176,12 +179,12 @@
         self.check_limits();
     }
 
-    /// Lets one process report, answer requests and apply a configuration.
+    /// Simulates a step of one process: it reports, answers requests and applies a configuration.
     fn advance_process(&mut self, id: u64) {
         let now = self.now;
         let answered = self.rng.random_range(0..4);
         let Some(simulated) = self.processes.get_mut(&id) else { return };
-        let bad = self.bad.get(&simulated.process.generation).copied();
+        let defect = self.defects.get(&simulated.process.generation).copied();
         let silent_for = now - simulated.process.last_report_at;
         if simulated.hung {
             let visible = silent_for >= Duration::from_millis(700);
@@ -192,7 +195,7 @@
             return;
         }
         if simulated.ready_at.is_some_and(|at| at <= now) {
-            simulated.report(now, answered, bad);
+            simulated.report(now, answered, defect);
         }
         if let Some((generation, at)) = simulated.reload
             && at <= now
@@ -202,14 +205,14 @@
                 simulated.process.rejected_generation = Some(generation);
             } else {
                 simulated.process.generation = generation;
-                if self.bad.get(&generation) == Some(&Bad::Ends) {
+                if self.defects.get(&generation) == Some(&Defect::Ends) {
                     simulated.ends_at = Some(now + STEP);
                 }
             }
         }
     }
 
-    /// The processes of a slot.
+    /// Returns the processes of a slot.
     pub fn processes_of<'a>(
         &'a self,
         slot: &'a str,
@@ -243,10 +246,10 @@
     fn check_start(&self, slot: &str, generation: u64) {
         let serving: Vec<&SimulatedProcess> =
             self.processes_of(slot).filter(|simulated| simulated.is_serving()).collect();
-        let twin = serving.iter().any(|simulated| {
+        let duplicate = serving.iter().any(|simulated| {
             simulated.process.generation == generation && !simulated.process.restart_requested
         });
-        self.check(!twin, &format!("a second copy of {slot}"));
+        self.check(!duplicate, &format!("a second copy of {slot}"));
         self.check(serving.len() <= 1, &format!("a third process of {slot}"));
         let dying = self.processes_of(slot).any(|simulated| simulated.killed);
         self.check(
@@ -289,10 +292,10 @@
     fn kill(&mut self, process: ProcessId) {
         let simulated = &self.processes[&process.0];
         let healthy = simulated.process.ready && !simulated.hung && simulated.is_serving();
-        let twin = self
+        let replacement = self
             .processes_of(&simulated.process.slot)
             .any(|other| other.process.id != process && other.process.ready);
-        self.check(!healthy || twin, &format!("{process:?} is healthy, and killed"));
+        self.check(!healthy || replacement, &format!("{process:?} is healthy, and killed"));
         // It may take a while to end.
         let end = self.now + self.millis(0, 500);
         let simulated = self.processes.get_mut(&process.0).expect("it is there");
@@ -307,7 +310,7 @@
                 simulated.process.generation == generation && simulated.process.ready
             })
         });
-        // Slots that failed before a rollout do not delay it.
+        // Slots that were failing before a rollout do not delay it.
         let failing = self.now < FAULTS_END * 2 && self.seed != u64::MAX;
         self.check(complete || failing, "completed before all slots run it");
         self.completed.push(generation);
@@ -328,7 +331,7 @@
         self.desired.slots.retain(|slot| !added.contains(slot));
     }
 
-    /// Starts a process of a slot; sometimes that fails.
+    /// Starts a process of a slot. While faults are injected, some starts fail.
     pub fn start(&mut self, slot: &str, generation: u64) {
         let now = self.now;
         if self.faults_are_on() && self.chance(0.05) {
@@ -336,9 +339,9 @@
             return;
         }
         self.next += 1;
-        let bad = self.bad.get(&generation).copied();
+        let defect = self.defects.get(&generation).copied();
         let ready = now + self.millis(50, 1500);
-        let ends = (bad == Some(Bad::Ends)).then(|| now + Duration::from_millis(300));
+        let ends = (defect == Some(Defect::Ends)).then(|| now + Duration::from_millis(300));
         let program = if generation == self.desired.target {
             self.desired.target_program
         } else {
@@ -359,7 +362,7 @@
             requests: RequestTotals::default(),
             stall: None,
         };
-        let ready_at = (bad != Some(Bad::NeverReady) && ends.is_none()).then_some(ready);
+        let ready_at = (defect != Some(Defect::NeverReady) && ends.is_none()).then_some(ready);
         let sim = SimulatedProcess {
             process,
             started_with: generation,
@@ -376,7 +379,7 @@
         self.processes.insert(self.next, sim);
     }
 
-    /// Tells a process to drain; one that hangs or ignores signals does not.
+    /// Tells a process to drain. It does unless it hangs or ignores signals.
     pub fn begin_draining(&mut self, id: u64) {
         let (now, drains) = (self.now, self.millis(100, 3000));
         let simulated = self.processes.get_mut(&id).expect("it is there");
@@ -389,20 +392,23 @@
 
     /// Checks the policy's limits.
     pub fn check_limits(&self) {
-        let limit = ((self.desired.slots.len() as f64 * self.policy.max_moving_share).ceil()
+        let limit = ((self.desired.slots.len() as f64 * self.policy.max_updating_share).ceil()
             as usize)
             .max(1);
-        let moving = self.desired.slots.iter().filter(|slot| {
+        let updating = self.desired.slots.iter().filter(|slot| {
             let serving: Vec<&SimulatedProcess> =
                 self.processes_of(slot).filter(|simulated| simulated.is_serving()).collect();
             serving.len() > 1
                 || serving.iter().any(|simulated| simulated.reload.is_some() && !simulated.hung)
         });
-        let moving = moving.count();
-        // Moves that an earlier daemon started_with go on beside those that its successor begins.
-        let fresh = self.now
+        let updating = updating.count();
+        // Updates that a previous daemon began continue beside those that its successor begins.
+        let may_exceed_limit = self.now
             < self.limit_exceeded_since + self.policy.ready_timeout + Duration::from_secs(3);
-        self.check(fresh || moving <= limit, &format!("{moving} moving, {limit} allowed"));
+        self.check(
+            may_exceed_limit || updating <= limit,
+            &format!("{updating} updating, {limit} allowed"),
+        );
         let starting = self
             .processes
             .values()
@@ -411,7 +417,7 @@
         self.check(starting <= self.policy.max_concurrent_starts, "too many starting");
     }
 
-    /// An error unless the desired state is reached.
+    /// Fails with the reason unless the desired state is reached.
     pub fn check_reached(&self) -> Result<(), String> {
         if self.desired.target != self.desired.stable {
             return Err("the rollout is not over".into());
@@ -419,9 +425,9 @@
         for slot in &self.desired.slots {
             let all: Vec<&SimulatedProcess> = self.processes_of(slot).collect();
             let [one] = all[..] else { return Err(format!("{} of {slot}", all.len())) };
-            let right =
+            let runs_target =
                 one.process.generation == self.desired.target && !one.process.restart_requested;
-            if !right || !one.process.ready || one.hung || !one.is_serving() {
+            if !runs_target || !one.process.ready || one.hung || !one.is_serving() {
                 return Err(format!("{slot} does not serve the target: {one:?}"));
             }
         }
@@ -432,14 +438,14 @@
         stray.map_or(Ok(()), |simulated| Err(format!("{} is still there", simulated.process.slot)))
     }
 
-    /// Runs until the desired state is reached, and checks that it stays so.
+    /// Runs until the desired state is reached, and checks that it is kept.
     pub fn run_to_the_desired_state(&mut self) {
         let end = self.now + SETTLE_TIMEOUT;
         while let Err(reason) = self.check_reached() {
             self.check(self.now < end, &reason);
             self.step();
         }
-        // It stays that way.
+        // The desired state is kept.
         for _ in 0..50 {
             self.step();
             if let Err(reason) = self.check_reached() {
--- a/crates/fleet/tests/state_directory.rs
+++ b/crates/fleet/tests/state_directory.rs
@@ -1,4 +1,4 @@
-//! The state directory: its lock, the stored state and the copies of programs.
+//! Tests of the state directory: its lock, the stored state and the copies of programs.
 
 use std::collections::BTreeSet;
 use std::fs;
