--- a/crates/fleet/src/atomic_file.rs
+++ b/crates/fleet/src/atomic_file.rs
@@ -1,18 +1,18 @@
-//! Files that are replaced as a whole.
+//! Atomic replacement of files.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Replaces a file by one that holds `bytes`: the new file is written beside the old one, synced and
-/// renamed over it (rename(2)), and the directory is synced (fsync(2)). Only its owner may read it.
+/// Replaces the content of a file by `bytes`. A new file is written beside the old one, synced and
+/// renamed over it (rename(2)), and the directory is synced (fsync(2)). Only the owner may read the file.
 ///
 /// # Errors
 ///
-/// When the file system fails. Usually the old file is still there. If it was the directory that
-/// could not be synced, the new file is in place, and the old one may be back after a crash of the
-/// machine: the caller cannot rely on either, and has to write again.
+/// When an operation on the file system fails. The old file usually remains. If only the directory could
+/// not be synced, the new file is in place, but a crash of the machine may bring the old one back: the
+/// caller cannot rely on either and has to write again.
 pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let temporary = path.with_extension("new");
     let written = write_and_rename(&temporary, path, bytes);
--- a/crates/fleet/src/check.rs
+++ b/crates/fleet/src/check.rs
@@ -1,4 +1,4 @@
-//! Lets a program check the configurations that its instances would get.
+//! Has a program check the configurations that its instances would get.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,51 +13,51 @@
 use crate::spec::{Spec, Template};
 use crate::state_directory::StateDirectory;
 
-/// How long a program may take to check one configuration.
+/// The time within which a program must check one configuration.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A program did not accept the configurations that its instances would get.
+/// The check of a specification failed.
 #[derive(Debug, Error)]
 pub enum CheckError {
-    /// A template has no address for an instance.
+    /// The specification has no address for an instance.
     #[error("{slot}: no address")]
     NoAddress {
-        /// The instance.
+        /// The slot of the instance.
         slot: String,
     },
-    /// A template cannot configure an instance.
+    /// The specification has no configuration for an instance.
     #[error("{slot}: no configuration")]
     NoConfiguration {
-        /// The instance.
+        /// The slot of the instance.
         slot: String,
     },
-    /// A configuration cannot be written.
+    /// A configuration file cannot be written.
     #[error("{}: {source}", path.display())]
     Write {
-        /// Its file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// The program cannot be started.
-    #[error("the program does not start: {0}")]
+    #[error("failed to start the program: {0}")]
     Start(#[source] io::Error),
-    /// The program was started, and cannot be observed.
+    /// The program was started, but no pidfd could be opened for it.
     #[error("{0}")]
     Observe(#[source] io::Error),
-    /// The program did not end in time.
+    /// The program did not exit in time.
     #[error("the program did not check its configuration in time")]
     Timeout,
     /// The program rejected a configuration.
     #[error(transparent)]
     Rejected(#[from] ChildError),
-    /// The check was cancelled.
+    /// The task of the check was cancelled or panicked.
     #[error("{0}")]
     Cancelled(#[from] tokio::task::JoinError),
 }
 
-/// Configurations to check, one of each template, each in a file of its own. The files go with it.
+/// Temporary files with the configurations to check, one per template. They are removed on drop.
 pub(crate) struct CheckFiles(Vec<PathBuf>);
 
 impl CheckFiles {
@@ -72,7 +72,7 @@
         Ok(files)
     }
 
-    /// Lets a program check each file. Blocks for as long as it takes.
+    /// Runs the check of a program on each file. Blocks until all are checked or one is rejected.
     pub(crate) fn check_with(&self, program: &Path) -> Result<(), CheckError> {
         self.0.iter().try_for_each(|file| check_file(program, file))
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,6 @@
-//! A daemon that keeps the sidecars of one host in their desired state: the desired state, what is
-//! observed, and the decisions that bring one to the other.
+//! The fleet daemon, which keeps the sidecars of one host in their desired state. It compares the
+//! desired state with the running processes and starts, reloads, replaces and ends processes until
+//! both agree.
 
 mod atomic_file;
 mod check;
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon that keeps a fleet of sidecars in their desired state.
+//! `lb-fleet`, the daemon that keeps the sidecars of one host in their desired state.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -8,16 +8,16 @@
 use logging::{Format, Options};
 use tokio::task::LocalSet;
 
-/// Keeps the sidecars of one host in their desired state, through reloads, upgrades, crashes and its own end.
+/// Keeps the sidecars of one host in their desired state, across reloads, upgrades, crashes and restarts of the daemon.
 ///
-/// SIGHUP reads the desired state again; SIGTERM drains all instances and ends, a second one kills them.
+/// SIGHUP reloads the desired state. SIGTERM drains all instances and exits; a second SIGTERM kills them.
 #[derive(Parser)]
 #[command(name = "lb-fleet", version)]
 struct Arguments {
-    /// What a line of the log looks like: text or json. Also LB_LOG_FORMAT.
+    /// The format of log lines: text or json. Also LB_LOG_FORMAT.
     #[arg(long, global = true)]
     log_format: Option<Format>,
-    /// A level, or levels by module, as in `warn,fleet=debug`. Also LB_LOG.
+    /// The log level, or levels by module, as in `warn,fleet=debug`. Also LB_LOG.
     #[arg(long = "log", global = true, value_name = "FILTER")]
     log_filter: Option<String>,
     #[command(subcommand)]
@@ -26,21 +26,21 @@
 
 #[derive(Subcommand)]
 enum Task {
-    /// Run the daemon in the foreground. Status 2: it could not begin.
+    /// Run the daemon in the foreground. Exit status 2: it could not start.
     Run {
-        /// The file of the desired state.
+        /// The file that specifies the desired state.
         #[arg(long, default_value_os_t = fleet::paths::default_specification())]
         file: PathBuf,
-        /// The state directory: stored state, programs, sockets. Only its owner can access it.
+        /// The state directory, for the stored state, programs and sockets. Only its owner can access it.
         #[arg(long, default_value_os_t = fleet::paths::default_state())]
         state: PathBuf,
     },
-    /// Check a specification without running it. Status 2: it cannot be used.
+    /// Check a specification without running it. Exit status 2: it is invalid.
     Check {
-        /// The file of the desired state.
+        /// The file that specifies the desired state.
         file: PathBuf,
     },
-    /// Keep copies of the listeners for a daemon, which starts this.
+    /// Run the socket holder, which keeps copies of the listeners. Started by the daemon.
     #[command(hide = true)]
     Hold,
 }
@@ -66,13 +66,13 @@
 fn run(file: &Path, state: &Path, log: &Options) -> Result<(), String> {
     log.start().map_err(|error| error.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
+    let runtime = runtime.map_err(|error| format!("failed to start the runtime: {error}"))?;
     let daemon = fleet::daemon::run(file, state, log.environment());
     LocalSet::new().block_on(&runtime, daemon).map_err(|error| error.to_string())
 }
 
 fn check(file: &Path) -> Result<(), String> {
     fleet::spec::Spec::read(file).map_err(|error| error.to_string())?;
-    println!("{}: sound", file.display());
+    println!("{}: valid", file.display());
     Ok(())
 }
--- a/crates/fleet/src/paths.rs
+++ b/crates/fleet/src/paths.rs
@@ -1,28 +1,28 @@
-//! Where the daemon's files are unless the command line says otherwise.
+//! The default paths of the daemon's files.
 
 use std::path::{Path, PathBuf};
 
 const STATE: &str = "/var/lib/lb-fleet";
-const FORMER_STATE: &str = "/var/lib/plankvale";
+const LEGACY_STATE: &str = "/var/lib/plankvale";
 const SPECIFICATION: &str = "/etc/lb-fleet/fleet.toml";
-const FORMER_SPECIFICATION: &str = "/etc/plankvale/fleet.toml";
+const LEGACY_SPECIFICATION: &str = "/etc/plankvale/fleet.toml";
 
-/// The directory of the daemon's state: `/var/lib/lb-fleet`, or `/var/lib/plankvale` of earlier
-/// versions where that is the only one of the two.
+/// Returns the default state directory: `/var/lib/lb-fleet`, or `/var/lib/plankvale` of earlier versions
+/// if only that exists.
 pub fn default_state() -> PathBuf {
-    current_or_former(Path::new(STATE), Path::new(FORMER_STATE))
+    current_or_legacy(Path::new(STATE), Path::new(LEGACY_STATE))
 }
 
-/// The specification: `/etc/lb-fleet/fleet.toml`, or `/etc/plankvale/fleet.toml` of earlier versions
-/// where that is the only one of the two.
+/// Returns the default path of the specification: `/etc/lb-fleet/fleet.toml`, or
+/// `/etc/plankvale/fleet.toml` of earlier versions if only that exists.
 pub fn default_specification() -> PathBuf {
-    current_or_former(Path::new(SPECIFICATION), Path::new(FORMER_SPECIFICATION))
+    current_or_legacy(Path::new(SPECIFICATION), Path::new(LEGACY_SPECIFICATION))
 }
 
-/// The former path if it exists and the current one does not. Without this, a daemon upgraded in place
-/// would begin without its listeners and revisions.
-fn current_or_former(current: &Path, former: &Path) -> PathBuf {
-    if !current.exists() && former.exists() { former.to_owned() } else { current.to_owned() }
+/// Returns the legacy path if it exists and the current one does not. Without this, a daemon that is
+/// upgraded in place would start without its listeners and revisions.
+fn current_or_legacy(current: &Path, legacy: &Path) -> PathBuf {
+    if !current.exists() && legacy.exists() { legacy.to_owned() } else { current.to_owned() }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/socket_holder.rs
+++ b/crates/fleet/src/socket_holder.rs
@@ -1,9 +1,10 @@
-//! The socket holder: a process that keeps copies of the listeners, so that they outlive the daemon.
+//! The socket holder, a process that keeps copies of the listeners so that they outlive the daemon.
 //!
-//! It sends its listeners to each daemon that connects, then takes the changes that the daemon sends
-//! until it disconnects. Its socket keeps messages apart, one per listener; the descriptors go along
-//! as `SCM_RIGHTS` (unix(7)). The socket is in the state directory, which only its owner can open.
-//! A holder of one version serves daemons of others, so the messages stay as they are.
+//! It sends its listeners to each daemon that connects, and then applies the changes that the daemon
+//! sends until it disconnects. Its Unix socket preserves message boundaries (`SOCK_SEQPACKET`); each
+//! message concerns one listener, whose descriptor is passed as `SCM_RIGHTS` (unix(7)). The socket is in
+//! the state directory, which only its owner can access. A holder of one version also serves daemons of
+//! other versions, so the format of the messages must not change.
 
 use std::collections::BTreeMap;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -21,22 +22,22 @@
 
 use crate::process::{Process, is_readable};
 
-/// The longest message.
+/// The length limit of a message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 257;
-/// The most listeners.
+/// The largest number of listeners that the holder keeps.
 const MAX_LISTENERS: usize = 4096;
-/// Daemons that may wait to be served.
+/// The backlog of the holder's socket: daemons that wait to be served.
 const BACKLOG: i32 = 4;
-/// To the holder: keep the listener of the name that follows.
+/// The prefix of a message to the holder to keep a listener. The name of the listener follows.
 const KEEP: &str = "+";
-/// To the holder: close the listener of the name that follows.
+/// The prefix of a message to the holder to close a listener. The name of the listener follows.
 const RELEASE: &str = "-";
-/// To the holder: end.
+/// The message to the holder to exit.
 const QUIT: &str = "!";
-/// From the holder: all listeners have been sent.
+/// The message of the holder after it has sent all listeners.
 const END_OF_LIST: &str = ".";
 
-/// A message with the descriptor that came along.
+/// A message and the descriptor that was passed with it, if any.
 struct Message {
     text: String,
     descriptor: Option<OwnedFd>,
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-/// The next message; none when the other side has closed the connection.
+/// Receives the next message. Returns `None` if the other side has closed the connection.
 fn receive(from: &OwnedFd) -> io::Result<Option<Message>> {
     let mut text = [0; MAX_MESSAGE_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -78,12 +79,12 @@
     Ok(Some(Message { text, descriptor }))
 }
 
-/// Runs the holder: serves one daemon after another on the socket that is its standard input, until
-/// one tells it to end.
+/// Runs the holder. It serves one daemon after another on the listening socket that is its standard
+/// input, until one tells it to exit.
 ///
 /// # Errors
 ///
-/// When its socket cannot be used any more.
+/// When accepting on the socket fails.
 pub fn run() -> io::Result<()> {
     let socket = std::io::stdin().as_fd().try_clone_to_owned()?;
     let mut listeners: BTreeMap<String, OwnedFd> = BTreeMap::new();
@@ -121,7 +122,7 @@
     }
 }
 
-/// Ends the holder at `path`, if there is one that serves no daemon.
+/// Makes the holder at `path` exit, if there is one and it serves no daemon.
 pub fn terminate(path: &Path) {
     if let Ok(connection) = connect_to(path) {
         let _ = send(&connection, QUIT, None);
@@ -135,21 +136,21 @@
     Ok(connection)
 }
 
-/// The daemon's connection to the holder.
+/// The daemon's connection to the socket holder.
 pub struct SocketHolder {
     path: PathBuf,
     connection: OwnedFd,
-    /// Its process, if this daemon started it.
+    /// The process of the holder, if this daemon started it.
     _process: Option<Process>,
 }
 
 impl SocketHolder {
-    /// Connects to the holder at `path`, and returns the listeners that it has by their names.
-    /// Starts a new holder if none answers there.
+    /// Connects to the holder at `path`, and receives its listeners, by their names. Starts a new holder
+    /// if none accepts connections there.
     ///
     /// # Errors
     ///
-    /// When none can be started.
+    /// When no holder can be started, or receiving the listeners fails.
     pub fn open(path: &Path) -> io::Result<(SocketHolder, BTreeMap<String, OwnedFd>)> {
         let address = SocketAddrUnix::new(path)?;
         let connection = unix_socket()?;
@@ -166,7 +167,7 @@
         Ok((holder, listeners))
     }
 
-    /// Gives the holder a copy of a listener.
+    /// Sends a copy of a listener to the holder.
     ///
     /// # Errors
     ///
@@ -175,7 +176,7 @@
         send(&self.connection, &format!("{KEEP}{name}"), Some(listener))
     }
 
-    /// Lets the holder close its copy of a listener.
+    /// Makes the holder close its copy of a listener.
     ///
     /// # Errors
     ///
@@ -184,12 +185,13 @@
         send(&self.connection, &format!("{RELEASE}{name}"), None)
     }
 
-    /// Whether the holder has ended: it never sends anything more, but its end shows.
+    /// Whether the holder has ended. It sends nothing after its list of listeners, so the connection
+    /// becomes readable only when it is closed.
     pub fn has_ended(&self) -> bool {
         is_readable(&self.connection)
     }
 
-    /// Ends the holder.
+    /// Makes the holder exit, and removes its socket.
     pub fn quit(self) {
         let _ = send(&self.connection, QUIT, None);
         let _ = std::fs::remove_file(&self.path);
--- a/crates/fleet/src/stall/tests.rs
+++ b/crates/fleet/src/stall/tests.rs
@@ -1,4 +1,4 @@
-//! Stalls of recorded samples and of real processes.
+//! Tests of stall detection with constructed samples and with real processes.
 
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
@@ -16,8 +16,8 @@
     SchedulerSample { state, cpu_time: ms(cpu_ms), timeslices }
 }
 
-/// The verdict after these samples, 100 ms apart.
-fn verdict(samples: &[SchedulerSample]) -> Option<Stall> {
+/// Returns the stall detected from these samples, taken 100 ms apart.
+fn detect_in_samples(samples: &[SchedulerSample]) -> Option<Stall> {
     let mut detector = StallDetector::new(ms(0), samples[0]);
     let rest = samples.iter().enumerate().skip(1);
     rest.fold(None, |stall, (n, r)| stall.or(detector.observe(ms(100 * n as u64), *r)))
@@ -39,17 +39,17 @@
 
 #[test]
 fn starved_process_is_not_reported_as_stalled() {
-    // Runnable, and nothing of a processor; then a little, without coming through.
-    assert_eq!(verdict(&[sample('R', 0, 5); 40]), None);
+    // Runnable without any CPU time; then with a little, too little for a turn of the event loop.
+    assert_eq!(detect_in_samples(&[sample('R', 0, 5); 40]), None);
     let slow: Vec<_> = (0..40).map(|n| sample('R', n * 5, n)).collect();
-    assert_eq!(verdict(&slow), None);
-    // It sleeps between its turns.
+    assert_eq!(detect_in_samples(&slow), None);
+    // Sleeping between turns of the event loop.
     let slow: Vec<_> = (0..40).map(|n| sample('S', n, n / 4)).collect();
-    assert_eq!(verdict(&slow), None);
+    assert_eq!(detect_in_samples(&slow), None);
     let mixed: Vec<_> = (0..40).map(|n| sample(['S', 'R'][n / 5 % 2], 0, 5)).collect();
-    assert_eq!(verdict(&mixed), None);
+    assert_eq!(detect_in_samples(&mixed), None);
     for state in ['D', 't', 'Z'] {
-        assert_eq!(verdict(&[sample(state, 0, 5); 40]), None, "{state}");
+        assert_eq!(detect_in_samples(&[sample(state, 0, 5); 40]), None, "{state}");
     }
 }
 
@@ -66,7 +66,7 @@
     let began = std::time::Instant::now();
     let mut detector = StallDetector::new(ms(0), SchedulerSample::read(child.id())?);
     let mut stall = None;
-    until("a verdict", || {
+    until("a stall is detected", || {
         std::thread::sleep(ms(20));
         let read = SchedulerSample::read(child.id()).expect("it is there");
         stall = detector.observe(began.elapsed(), read);
