--- a/crates/fleet/src/control/server.rs
+++ b/crates/fleet/src/control/server.rs
@@ -16,7 +16,7 @@
 
 /// The length limit of a request, in bytes.
 const MAX_REQUEST_BYTES: u64 = 4 << 10;
-/// The number of connections that are served at once. Further ones wait to be accepted.
+/// The number of connections that are served at the same time. Further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 16;
 /// The delay before the next attempt after a failure to accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
--- a/crates/fleet/src/planner/backoff.rs
+++ b/crates/fleet/src/planner/backoff.rs
@@ -66,7 +66,7 @@
         }
         match self.failures {
             // A single crash after a long time of service is hardly a crash loop, and clients are
-            // waiting: restart at once.
+            // waiting: restart immediately.
             0 | 1 => Duration::ZERO,
             n => policy.initial_backoff.saturating_mul(1 << (n - 2).min(MAX_DOUBLINGS)),
         }
@@ -99,7 +99,7 @@
         SlotHealth { restart_state, failures: backoff.failures, last_failure }
     }
 
-    /// Resets a slot's failures, so that it is started at once. Called when an operator restarts it.
+    /// Resets a slot's failures, so that it is started without a backoff. Called when an operator restarts it.
     pub fn reset_failures(&mut self, slot: &str) {
         self.backoffs.remove(slot);
     }
--- a/crates/fleet/src/planner/canary.rs
+++ b/crates/fleet/src/planner/canary.rs
@@ -14,17 +14,24 @@
 /// The canaries' share of failed or rejected requests exceeds that of the other instances by more
 /// than the margin of the policy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{bad} of {total} requests {outcome} at the canary, {rest_bad} of {rest_total} elsewhere")]
+#[error(
+    "{count} of {total} requests {outcome} at the canary, {rest_count} of {rest_total} elsewhere"
+)]
 pub struct CanaryRegression {
-    outcome: BadOutcome,
-    bad: u64,
+    outcome: Outcome,
+    /// Requests of the canaries with this outcome.
+    count: u64,
+    /// All answered requests of the canaries.
     total: u64,
-    rest_bad: u64,
+    /// Requests of the other instances with this outcome.
+    rest_count: u64,
+    /// All answered requests of the other instances.
     rest_total: u64,
 }
 
+/// The outcome of requests by which canaries regress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-enum BadOutcome {
+enum Outcome {
     #[error("failed")]
     Failed,
     #[error("were refused")]
@@ -78,17 +85,17 @@
         }
         let (canary, rest) = (self.canary, self.rest);
         let outcomes = [
-            (BadOutcome::Failed, canary.failed, rest.failed, policy.failure_margin),
-            (BadOutcome::Rejected, canary.rejected, rest.rejected, policy.rejection_margin),
+            (Outcome::Failed, canary.failed, rest.failed, policy.failure_margin),
+            (Outcome::Rejected, canary.rejected, rest.rejected, policy.rejection_margin),
         ];
         outcomes
             .into_iter()
-            .find(|(_, bad, rest_bad, margin)| canary.share(*bad) > rest.share(*rest_bad) + margin)
-            .map(|(outcome, bad, rest_bad, _)| CanaryRegression {
+            .find(|(_, count, other, margin)| canary.share(*count) > rest.share(*other) + margin)
+            .map(|(outcome, count, rest_count, _)| CanaryRegression {
                 outcome,
-                bad,
+                count,
                 total: canary.total,
-                rest_bad,
+                rest_count,
                 rest_total: rest.total,
             })
     }
--- a/crates/fleet/src/planner/commands.rs
+++ b/crates/fleet/src/planner/commands.rs
@@ -18,7 +18,7 @@
     HandOver,
     /// Drain and exit.
     Stop,
-    /// Exit at once, by SIGKILL.
+    /// Exit immediately, by SIGKILL.
     Kill,
 }
 
--- a/crates/fleet/src/planner/mod.rs
+++ b/crates/fleet/src/planner/mod.rs
@@ -108,7 +108,7 @@
 
     /// Detects a long gap between two calls: the daemon was suspended, or its clock jumped. It read no
     /// reports during the gap, so the silence of processes is measured from its end; otherwise all of
-    /// them would be killed at once.
+    /// them would be killed immediately.
     fn detect_gap(&mut self, now: Duration) {
         if now.saturating_sub(self.last_reconciled_at) > self.policy.silence_timeout / 2 {
             self.observing_since = now;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the number of slots that may change their process or configuration at once.
+    /// Returns the number of slots that may change their process or configuration at the same time.
     fn update_limit(&self, desired: &DesiredState) -> usize {
         let share = desired.slots.len() as f64 * self.policy.max_updating_share;
         (share.ceil() as usize).max(1)
--- a/crates/fleet/src/planner/policy.rs
+++ b/crates/fleet/src/planner/policy.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct FleetPolicy {
-    /// The share of the slots that may change their process or configuration at once, from 0 to 1.
+    /// The share of the slots that may change their process or configuration at the same time, from 0
+    /// to 1.
     #[serde(rename = "share")]
     pub max_updating_share: f64,
     /// The number of slots that get a new generation first.
@@ -58,7 +59,7 @@
     pub crash_loop_threshold: u32,
     /// The time for which a process must be ready to reset the failures of its slot.
     pub stable_after: Duration,
-    /// The number of processes that may be starting at once.
+    /// The number of processes that may be starting at the same time.
     #[serde(rename = "starting_at_once")]
     pub max_concurrent_starts: usize,
 }
--- a/crates/fleet/src/process/tests.rs
+++ b/crates/fleet/src/process/tests.rs
@@ -38,7 +38,7 @@
     let (found, process) = find_instances(folder.path()).remove(0);
     assert_eq!((&found, process.pid), (&identity, child.id()));
     process.signal(Signal::KILL);
-    until("its end shows", || process.has_ended());
+    until("its exit is noticed", || process.has_ended());
     // It has not been reaped: a zombie counts as ended.
     assert!(find_instances(folder.path()).is_empty());
     child.wait().expect("a child of ours");
--- a/crates/fleet/src/stall/mod.rs
+++ b/crates/fleet/src/stall/mod.rs
@@ -16,7 +16,8 @@
 
 use std::time::Duration;
 
-/// The time for which a process must be stopped before it counts as stalled. It may be continued at once.
+/// The time for which a process must be stopped before it counts as stalled. A process may be continued
+/// right after it was stopped, which is no stall.
 const MIN_STOPPED: Duration = Duration::from_millis(200);
 /// The time for which a process must sleep without being woken before it counts as stalled. It is longer
 /// than the interval of the timers of a healthy sidecar (status reports and the eviction of idle
--- a/crates/fleet/src/stall/tests.rs
+++ b/crates/fleet/src/stall/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn sample_is_parsed_whatever_the_process_name_holds() {
+fn sample_is_parsed_with_any_process_name() {
     let stat = "7 (a) S (b) R 1 7 7 0 -1";
     let read = SchedulerSample::parse(stat, "1500000 99 12\n").expect("sound");
     assert_eq!(
--- a/crates/fleet/tests/planner/main.rs
+++ b/crates/fleet/tests/planner/main.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn crash_looping_slot_is_restarted_at_the_longest_backoff() {
+fn crash_looping_slot_is_restarted_at_the_maximum_backoff() {
     let mut world = settled_world(3);
     world.defects.insert(1, Defect::Ends);
     let slot = world.desired.slots.first().expect("a slot").clone();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn hung_process_is_killed_sooner_where_the_system_shows_the_stall() {
+fn hung_process_is_killed_sooner_if_a_stall_is_detected() {
     for (visible_stall, from_ms, to_ms) in
         [(Some(Stall::Stopped), 800, 1100), (Some(Stall::Spinning), 800, 1100), (None, 4900, 5200)]
     {
--- a/crates/fleet/tests/planner/world.rs
+++ b/crates/fleet/tests/planner/world.rs
@@ -254,11 +254,11 @@
         let dying = self.processes_of(slot).any(|simulated| simulated.killed);
         self.check(
             !dying || !serving.is_empty(),
-            &format!("one of {slot} that was killed is still there"),
+            &format!("a killed process of {slot} has not exited"),
         );
-        let requested =
+        let desired =
             self.desired.slots.contains(slot) || self.desired.removed_slots.contains(slot);
-        self.check(requested, &format!("{slot} is not requested"));
+        self.check(desired, &format!("{slot} is not desired"));
         self.check(!self.desired.blocked_slots.contains(slot), &format!("{slot} is blocked"));
     }
 
@@ -284,9 +284,9 @@
     fn check_stop(&self, process: ProcessId) {
         let simulated = &self.processes[&process.0];
         let slot = &simulated.process.slot;
-        let requested = self.desired.slots.contains(slot) && self.desired.shutdown.is_none();
+        let desired = self.desired.slots.contains(slot) && self.desired.shutdown.is_none();
         let ending = simulated.process.draining || simulated.told_to_end;
-        self.check(!requested || ending, &format!("{slot} is stopped, but requested"));
+        self.check(!desired || ending, &format!("{slot} is stopped, but desired"));
     }
 
     fn kill(&mut self, process: ProcessId) {
