--- a/src/sidecar/body.rs
+++ b/src/sidecar/body.rs
@@ -43,7 +43,7 @@
 /// A peer that stops half way, or sends byte by byte, would hold a request and its resources for
 /// ever. Its time runs only while it is waited for: a receiver that takes its time is not the
 /// sender's fault. This does harm to senders with long pauses.
-pub struct PacedBody<P: Runtime> {
+pub struct MinRateBody<P: Runtime> {
     body: Incoming,
     /// How many bytes may still be received.
     remaining: u64,
@@ -61,19 +61,19 @@
     timeout: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-impl<P: Runtime> PacedBody<P> {
+impl<P: Runtime> MinRateBody<P> {
     /// The rest of a client's body, which may have `remaining` bytes more.
-    pub fn from_client(body: Incoming, remaining: u64) -> PacedBody<P> {
-        PacedBody::new(body, remaining, MIN_CLIENT_BYTES_PER_SECOND)
+    pub fn from_client(body: Incoming, remaining: u64) -> MinRateBody<P> {
+        MinRateBody::new(body, remaining, MIN_CLIENT_BYTES_PER_SECOND)
     }
 
     /// The rest of a server's body, which may have `remaining` bytes more.
-    pub fn from_server(body: Incoming, remaining: u64) -> PacedBody<P> {
-        PacedBody::new(body, remaining, MIN_SERVER_BYTES_PER_SECOND)
+    pub fn from_server(body: Incoming, remaining: u64) -> MinRateBody<P> {
+        MinRateBody::new(body, remaining, MIN_SERVER_BYTES_PER_SECOND)
     }
 
-    fn new(body: Incoming, remaining: u64, min_bytes_per_second: u64) -> PacedBody<P> {
-        PacedBody {
+    fn new(body: Incoming, remaining: u64, min_bytes_per_second: u64) -> MinRateBody<P> {
+        MinRateBody {
             body,
             remaining,
             min_bytes_per_second,
@@ -104,7 +104,7 @@
     }
 }
 
-impl<P: Runtime> Body for PacedBody<P> {
+impl<P: Runtime> Body for MinRateBody<P> {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/src/sidecar/events.rs
+++ b/src/sidecar/events.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 use std::fmt::{self, Display, Formatter};
 
-use super::execution::Doubt;
+use super::execution::ExecutionDoubt;
 use super::invariants::{SendRefusal, Violation};
 use super::sync_state::{DesyncSign, SyncState};
 use crate::api::{EndReason, Outcome};
@@ -64,7 +64,7 @@
     refusals: [Cell<u64>; SendRefusal::ALL.len()],
     ends: [Cell<u64>; EndReason::ALL.len()],
     retries: [Cell<u64>; Outcome::ALL.len()],
-    doubts: [Cell<u64>; Doubt::ALL.len()],
+    doubts: [Cell<u64>; ExecutionDoubt::ALL.len()],
     desync_signs: [Cell<u64>; DesyncSign::ALL.len()],
     sync_checks: [Cell<u64>; SyncState::ALL.len()],
     reuse_suspensions: Cell<u64>,
@@ -119,7 +119,7 @@
     }
 
     /// Counts an attempt that may have been executed, though its server seems to have said that it was not.
-    pub fn record_doubt(&self, doubt: Doubt) {
+    pub fn record_doubt(&self, doubt: ExecutionDoubt) {
         increment(&self.doubts[doubt as usize]);
     }
 
@@ -174,7 +174,11 @@
         ));
         all.extend(group("ended", EndReason::ALL.map(EndReason::name).into(), &self.ends));
         all.extend(group("retried_after", Outcome::ALL.map(Outcome::name).into(), &self.retries));
-        all.extend(group("doubted", Doubt::ALL.map(Doubt::name).into(), &self.doubts));
+        all.extend(group(
+            "doubted",
+            ExecutionDoubt::ALL.map(ExecutionDoubt::name).into(),
+            &self.doubts,
+        ));
         all.extend(group(
             "desync_suspected",
             DesyncSign::ALL.map(DesyncSign::name).into(),
--- a/src/sidecar/events/tests.rs
+++ b/src/sidecar/events/tests.rs
@@ -10,7 +10,7 @@
     counters.record_refusal(SendRefusal::WindowOver);
     counters.record_end(EndReason::NoServer);
     counters.record_retry(Outcome::Rejected);
-    counters.record_doubt(Doubt::Incomplete);
+    counters.record_doubt(ExecutionDoubt::Incomplete);
     counters.record_close(CloseReason::Broken);
     counters.record_unanswered(CloseReason::TimedOut);
     counters.record_late_input();
@@ -43,7 +43,7 @@
         SendRefusal::ALL.len(),
         EndReason::ALL.len(),
         Outcome::ALL.len(),
-        Doubt::ALL.len(),
+        ExecutionDoubt::ALL.len(),
         DesyncSign::ALL.len(),
         SyncState::ALL.len(),
         2 * CloseReason::ALL.len(),
--- a/src/sidecar/execution.rs
+++ b/src/sidecar/execution.rs
@@ -51,36 +51,36 @@
     /// # Errors
     ///
     /// Why it may have been.
-    pub fn never_ran(&self) -> Result<NeverRan, Doubt> {
+    pub fn never_ran(&self) -> Result<NonExecutionProof, ExecutionDoubt> {
         let ResponseFacts { status, unprocessed, complete, in_turn } = self.response;
         match self.copies_sent {
-            0 => return Ok(NeverRan::NotSent),
+            0 => return Ok(NonExecutionProof::NotSent),
             1 => {}
-            _ => return Err(Doubt::EarlierCopy),
+            _ => return Err(ExecutionDoubt::EarlierCopy),
         }
-        let status = status.ok_or(Doubt::NoResponse)?;
+        let status = status.ok_or(ExecutionDoubt::NoResponse)?;
         if !REJECTION_STATUSES.contains(&status) || unprocessed == Unprocessed::Unsaid {
-            return Err(Doubt::NotRejected);
+            return Err(ExecutionDoubt::NotRejected);
         }
         if unprocessed != Unprocessed::Promised {
-            return Err(Doubt::Contradictory);
+            return Err(ExecutionDoubt::Contradictory);
         }
         if !in_turn {
-            return Err(Doubt::OutOfTurn);
+            return Err(ExecutionDoubt::OutOfTurn);
         }
         if !complete {
-            return Err(Doubt::Incomplete);
+            return Err(ExecutionDoubt::Incomplete);
         }
         if !self.connection_settled {
-            return Err(Doubt::Unsettled);
+            return Err(ExecutionDoubt::Unsettled);
         }
-        Ok(NeverRan::Rejected)
+        Ok(NonExecutionProof::Rejected)
     }
 }
 
 /// Why an attempt cannot have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NeverRan {
+pub enum NonExecutionProof {
     /// Its last byte was not written.
     NotSent,
     /// Its server rejected it unprocessed, in a response that is whole and belongs to nothing else.
@@ -89,7 +89,7 @@
 
 /// Why an attempt may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum ExecutionDoubt {
     /// No head of a response has arrived.
     NoResponse,
     /// The response does not say that the request was not processed.
@@ -106,33 +106,33 @@
     Unsettled,
 }
 
-impl Doubt {
+impl ExecutionDoubt {
     /// All of them, in the order in which they are reported.
-    pub const ALL: [Doubt; 7] = [
-        Doubt::NoResponse,
-        Doubt::NotRejected,
-        Doubt::Contradictory,
-        Doubt::Incomplete,
-        Doubt::OutOfTurn,
-        Doubt::EarlierCopy,
-        Doubt::Unsettled,
+    pub const ALL: [ExecutionDoubt; 7] = [
+        ExecutionDoubt::NoResponse,
+        ExecutionDoubt::NotRejected,
+        ExecutionDoubt::Contradictory,
+        ExecutionDoubt::Incomplete,
+        ExecutionDoubt::OutOfTurn,
+        ExecutionDoubt::EarlierCopy,
+        ExecutionDoubt::Unsettled,
     ];
 
     /// The name in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
-            Doubt::NoResponse => "no_response",
-            Doubt::NotRejected => "not_rejected",
-            Doubt::Contradictory => "contradictory",
-            Doubt::Incomplete => "incomplete",
-            Doubt::OutOfTurn => "out_of_turn",
-            Doubt::EarlierCopy => "earlier_copy",
-            Doubt::Unsettled => "unsettled",
+            ExecutionDoubt::NoResponse => "no_response",
+            ExecutionDoubt::NotRejected => "not_rejected",
+            ExecutionDoubt::Contradictory => "contradictory",
+            ExecutionDoubt::Incomplete => "incomplete",
+            ExecutionDoubt::OutOfTurn => "out_of_turn",
+            ExecutionDoubt::EarlierCopy => "earlier_copy",
+            ExecutionDoubt::Unsettled => "unsettled",
         }
     }
 }
 
-impl Display for Doubt {
+impl Display for ExecutionDoubt {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
--- a/src/sidecar/execution/tests.rs
+++ b/src/sidecar/execution/tests.rs
@@ -21,22 +21,28 @@
 
 #[test]
 fn whole_rejection_and_unwritten_request_are_proofs() {
-    assert_eq!(REJECTED.never_ran(), Ok(NeverRan::Rejected));
-    assert_eq!(with_response(|r| r.status = Some(504)).never_ran(), Ok(NeverRan::Rejected));
-    assert_eq!(ExecutionFacts::NOT_SENT.never_ran(), Ok(NeverRan::NotSent));
+    assert_eq!(REJECTED.never_ran(), Ok(NonExecutionProof::Rejected));
+    assert_eq!(
+        with_response(|r| r.status = Some(504)).never_ran(),
+        Ok(NonExecutionProof::Rejected)
+    );
+    assert_eq!(ExecutionFacts::NOT_SENT.never_ran(), Ok(NonExecutionProof::NotSent));
 }
 
 #[test]
 fn each_part_of_the_proof_is_required() {
     let doubts = [
-        (with_response(|r| r.status = None), Doubt::NoResponse),
-        (with_response(|r| r.status = Some(500)), Doubt::NotRejected),
-        (with_response(|r| r.unprocessed = Unprocessed::Unsaid), Doubt::NotRejected),
-        (with_response(|r| r.unprocessed = Unprocessed::Contradictory), Doubt::Contradictory),
-        (with_response(|r| r.complete = false), Doubt::Incomplete),
-        (with_response(|r| r.in_turn = false), Doubt::OutOfTurn),
-        (ExecutionFacts { copies_sent: 2, ..REJECTED }, Doubt::EarlierCopy),
-        (ExecutionFacts { connection_settled: false, ..REJECTED }, Doubt::Unsettled),
+        (with_response(|r| r.status = None), ExecutionDoubt::NoResponse),
+        (with_response(|r| r.status = Some(500)), ExecutionDoubt::NotRejected),
+        (with_response(|r| r.unprocessed = Unprocessed::Unsaid), ExecutionDoubt::NotRejected),
+        (
+            with_response(|r| r.unprocessed = Unprocessed::Contradictory),
+            ExecutionDoubt::Contradictory,
+        ),
+        (with_response(|r| r.complete = false), ExecutionDoubt::Incomplete),
+        (with_response(|r| r.in_turn = false), ExecutionDoubt::OutOfTurn),
+        (ExecutionFacts { copies_sent: 2, ..REJECTED }, ExecutionDoubt::EarlierCopy),
+        (ExecutionFacts { connection_settled: false, ..REJECTED }, ExecutionDoubt::Unsettled),
     ];
     for (facts, doubt) in doubts {
         assert_eq!(facts.never_ran(), Err(doubt), "{facts:?}");
--- a/src/sidecar/ingress/request.rs
+++ b/src/sidecar/ingress/request.rs
@@ -19,7 +19,7 @@
 use crate::api::Micros;
 use crate::settings::RetrySafety;
 use crate::sidecar::body::{
-    BodyError, BoxedBody, PacedBody, STREAM_RESERVATION_BYTES, STREAM_WINDOW_BYTES,
+    BodyError, BoxedBody, MinRateBody, STREAM_RESERVATION_BYTES, STREAM_WINDOW_BYTES,
 };
 use crate::sidecar::budget::Reservation;
 use crate::sidecar::config::stable_hash;
@@ -185,7 +185,7 @@
         let upload = rest.map(|rest| {
             let remaining = self.live.max_body_bytes().saturating_sub(first.len()) as u64;
             let source: BoxedBody = Box::pin(StreamedRequestBody {
-                body: PacedBody::<P>::from_client(rest, remaining),
+                body: MinRateBody::<P>::from_client(rest, remaining),
                 connection: connection.clone(),
             });
             let left = self.driver.time_budget(info.class, info.time_left);
@@ -321,7 +321,7 @@
 
 /// The rest of a client's long body. It tells the connection when it has ended.
 struct StreamedRequestBody<P: Runtime> {
-    body: PacedBody<P>,
+    body: MinRateBody<P>,
     connection: Rc<ClientConnection<P>>,
 }
 
--- a/src/sidecar/upload.rs
+++ b/src/sidecar/upload.rs
@@ -30,7 +30,7 @@
 /// The body of one request, streamed to whichever attempt gets it.
 pub struct Upload {
     /// How long the client waits for a response, from the body's last byte on.
-    pub left: Duration,
+    pub response_timeout: Duration,
     /// Its length in bytes, if the request's head tells.
     pub length: Option<u64>,
     /// When its last byte was received by the sidecar, where that is seen before it is wanted.
@@ -57,11 +57,11 @@
         prefix: Bytes,
         source: BoxedBody,
         length: Option<u64>,
-        left: Duration,
+        response_timeout: Duration,
         received_at: Rc<Cell<Option<Instant>>>,
     ) -> Rc<Upload> {
         Rc::new(Upload {
-            left,
+            response_timeout,
             length,
             received_at,
             prefix: RefCell::new(prefix),
@@ -94,7 +94,7 @@
     /// The rest of a body may have been received, and wait here, long before an attempt wants it:
     /// its time runs meanwhile.
     pub fn deadline(&self) -> Option<Instant> {
-        Some(self.received_at.get().or(self.completed_at())? + self.left)
+        Some(self.received_at.get().or(self.completed_at())? + self.response_timeout)
     }
 
     /// Completes when some of it has been sent that is not kept.
@@ -110,7 +110,7 @@
     /// Completes when nothing of it has moved for long.
     ///
     /// A server that accepts no more of a body would hold its client for ever. A client that sends
-    /// no more is detected sooner, by [`PacedBody`](super::body::PacedBody).
+    /// no more is detected sooner, by [`MinRateBody`](super::body::MinRateBody).
     pub async fn stalled<P: Runtime>(&self) {
         loop {
             let before = self.streamed.get();
--- a/src/sidecar/upload/tests.rs
+++ b/src/sidecar/upload/tests.rs
@@ -47,11 +47,11 @@
         assert!(matches!(next, Poll::Ready(Some(Ok(b))) if b == piece));
     }
     // Nobody asks whether there is more.
-    assert_eq!(known.deadline(), known.completed_at().map(|end| end + known.left));
+    assert_eq!(known.deadline(), known.completed_at().map(|end| end + known.response_timeout));
     let waiting = upload("kept", " and more");
     let received = Instant::now();
     waiting.received_at.set(Some(received));
-    let deadline = Some(received + waiting.left);
+    let deadline = Some(received + waiting.response_timeout);
     assert_eq!((waiting.completed_at(), waiting.deadline()), (None, deadline));
 }
 
--- a/src/sidecar/upstream/exchange.rs
+++ b/src/sidecar/upstream/exchange.rs
@@ -17,7 +17,7 @@
 use super::{Endpoint, Upstream};
 use crate::api::Outcome;
 use crate::settings::RetrySafety;
-use crate::sidecar::execution::{Doubt, ExecutionFacts};
+use crate::sidecar::execution::{ExecutionDoubt, ExecutionFacts};
 use crate::sidecar::invariants::{self, SendRefusal};
 use crate::sidecar::sync_state::{DesyncSign, SyncState};
 
@@ -131,7 +131,7 @@
     }
 
     /// Counts and logs that the attempt's end does not prove that it was not executed.
-    fn record_doubt(&self, doubt: Doubt) {
+    fn record_doubt(&self, doubt: ExecutionDoubt) {
         self.upstream.status.events.record_doubt(doubt);
         tracing::info!(
             request = self.request.correlation_id(),
--- a/src/sidecar/upstream/response.rs
+++ b/src/sidecar/upstream/response.rs
@@ -19,7 +19,7 @@
 use super::desync::{BodyFingerprint, SuspectedDesync};
 use crate::api::{Outcome, ServerId};
 use crate::sidecar::body::{
-    BodyError, BoxedBody, PacedBody, STREAM_RESERVATION_BYTES, STREAM_WINDOW_BYTES,
+    BodyError, BoxedBody, MinRateBody, STREAM_RESERVATION_BYTES, STREAM_WINDOW_BYTES,
 };
 use crate::sidecar::framing::UNPROCESSED_HEADER;
 
@@ -39,7 +39,7 @@
 
 /// The rest of a response that is forwarded while it is received. Its connection is closed behind it.
 struct StreamedRest<P: Runtime> {
-    body: PacedBody<P>,
+    body: MinRateBody<P>,
     connection: Option<Connection<P>>,
 }
 
@@ -195,7 +195,7 @@
             None
         } else {
             let longest_rest = self.live.max_body_bytes().saturating_sub(first.bytes.len());
-            let body = PacedBody::from_server(body, longest_rest as u64);
+            let body = MinRateBody::from_server(body, longest_rest as u64);
             let connection = connection.take();
             Some(Box::pin(StreamedRest { body, connection }))
         };
