--- a/src/sidecar/upstream/attempt_result.rs
+++ b/src/sidecar/upstream/attempt_result.rs
@@ -1,4 +1,4 @@
-//! How attempts end.
+//! Results of attempts.
 
 use bytes::Bytes;
 use hyper::header::HeaderMap;
@@ -11,32 +11,32 @@
 
 /// A server's response to a request.
 pub struct UpstreamResponse {
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body, or the first part of one that is too long to be buffered.
+    /// The body, or its first bytes if it is streamed.
     pub body: Bytes,
-    /// The rest of the body, if it is streamed.
+    /// The rest of a streamed body, or `None` if the body is buffered.
     pub rest: Option<BoxedBody>,
-    /// The memory reserved for the body.
+    /// Memory reserved for the body.
     pub reservation: Reservation,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The load report that came with the response; empty without one.
     pub report: LoadReport,
-    /// The response, if the outcome is that the request was served.
+    /// The response, or `None` if the request was not served.
     pub response: Option<UpstreamResponse>,
-    /// What passed on its connections; none if it was still under way.
+    /// What was sent and received on the connections of the attempt, or `None` if it was cancelled or timed out.
     pub facts: Option<ExecutionFacts>,
-    /// Its last connection; none if it had none, or was still under way.
+    /// The last connection of the attempt, or `None` if it had none, was cancelled or timed out.
     pub connection_use: Option<ConnectionUse>,
 }
 
 impl AttemptResult {
-    /// An end without a response.
+    /// Creates the result of an attempt without a response.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The end of an attempt of which nothing was sent.
+    /// Creates the result of an attempt of which nothing was sent.
     pub fn not_sent() -> AttemptResult {
         let facts = Some(ExecutionFacts::NOT_SENT);
         AttemptResult { facts, ..AttemptResult::without_response(Outcome::NotSent) }
--- a/src/sidecar/upstream/close_reason.rs
+++ b/src/sidecar/upstream/close_reason.rs
@@ -1,35 +1,35 @@
-//! Why connections to servers are closed.
+//! Reasons for closing connections to servers.
 
-/// Why a connection to a server is closed.
+/// The reason for closing a connection to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The attempt on it ended without a response that allows another request; its own end tells more.
+    /// The attempt ended without a response after which the connection could be reused. See the log of the attempt.
     #[default]
     AttemptEnded,
-    /// It was idle for as long as it may be.
+    /// The connection reached the maximum idle time.
     Expired,
-    /// The server closed it, or sent something unasked for.
+    /// The server closed the connection, or sent unexpected bytes on it.
     ClosedByServer,
-    /// The last response is not whole, or something followed it.
+    /// The last response is incomplete, or bytes followed it.
     NotReusable,
-    /// It had carried other requests, and the last response did not serve its request.
+    /// The last response on a reused connection had another status than 200, and may be a copy of an earlier one.
     NotServed,
-    /// It has carried as many requests as it may.
+    /// The connection has carried the maximum number of requests.
     RequestLimit,
-    /// The last response was forwarded while it was received: a copy of it would not be known by its body.
+    /// The last response was streamed, so a copy of it could not be recognized by its body.
     Streamed,
-    /// The server has sent unexpected bytes lately.
+    /// The server has recently sent unexpected bytes.
     ReuseSuspended,
-    /// The server is at another address.
+    /// The address of the server has changed.
     AddressChanged,
-    /// Room was needed for another connection.
+    /// The socket was needed for another connection.
     Evicted,
-    /// The balancer wants no idle connections to the server.
+    /// The balancer asked to close the idle connections to the server.
     Unwanted,
 }
 
 impl CloseReason {
-    /// The name in logs.
+    /// Returns the name used in logs.
     pub(super) fn name(self) -> &'static str {
         match self {
             CloseReason::AttemptEnded => "attempt_ended",
--- a/src/sidecar/upstream/connection.rs
+++ b/src/sidecar/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use std::cell::Cell;
 use std::fmt::{self, Display, Formatter};
@@ -21,25 +21,27 @@
 use crate::sidecar::budget::SocketPermit;
 use crate::sidecar::framing::MAX_HEAD_BYTES;
 
-/// A connection that has been idle at least this long may have been reset unnoticed, and is tested
-/// before a request that is not idempotent is sent on it in full.
-const IDLE_BEFORE_RESET: Duration = Duration::from_millis(50);
-/// How long such a test takes, in times to connect (a reset arrives within a round trip), and its
-/// bounds.
-const TEST_ROUND_TRIPS: u32 = 4;
-const SHORTEST_TEST: Duration = Duration::from_millis(1);
-const LONGEST_TEST: Duration = Duration::from_millis(4);
-
-/// On which connection an attempt was made, and what had passed there before.
+/// The idle time from which a connection is checked before a non-idempotent request is sent on it in full: the server
+/// may have reset it without the sidecar having noticed.
+const MIN_IDLE_FOR_STALE_CHECK: Duration = Duration::from_millis(50);
+/// The duration of a stale check, as a multiple of the time that connecting took. A reset arrives within one round
+/// trip.
+const STALE_CHECK_ROUND_TRIPS: u32 = 4;
+/// Lower bound of the duration of a stale check.
+const MIN_STALE_CHECK: Duration = Duration::from_millis(1);
+/// Upper bound of the duration of a stale check.
+const MAX_STALE_CHECK: Duration = Duration::from_millis(4);
+
+/// Describes the connection of an attempt and its earlier use, for logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionUse {
-    /// The number of the connection, in the order in which this process opened them.
+    /// The serial number of the connection in this process.
     pub connection: u64,
-    /// How many requests it had carried before.
+    /// Number of requests that the connection had carried before.
     pub earlier_requests: u32,
-    /// How long it had been idle.
+    /// How long the connection had been idle.
     pub idle: Duration,
-    /// How long after the last byte of the request the response began, if it did.
+    /// Time from the last byte of the request to the start of the response, or `None` without a response.
     pub response_delay: Option<Duration>,
 }
 
@@ -54,34 +56,36 @@
     }
 }
 
-/// One connection. Dropping it closes it.
+/// A connection to a server, closed on drop.
 pub(super) struct Connection<P: Runtime> {
     pub(super) sender: SendRequest<RequestBody<P>>,
     pub(super) observer: Rc<ExchangeObserver<P>>,
     pub(super) address: SocketAddr,
-    /// Its number, in the order in which this process opened them.
+    /// The serial number of the connection in this process.
     number: u64,
-    /// How many requests it has carried that are over.
+    /// Number of completed requests on the connection.
     earlier_requests: u32,
-    /// When it last became idle, or was established.
+    /// When the connection last became idle, or was established.
     pub(super) idle_since: Instant,
-    /// How long after its request the last response began, if that was served.
-    last_delay: Option<Duration>,
+    /// Time from the last request to the start of its response, if the response had status 200.
+    last_response_delay: Option<Duration>,
+    /// Bodies of the responses that the connection has carried.
     earlier_bodies: RecentBodies,
-    /// It has carried a message that tells whether it is synchronized: the answer to another could be a copy.
+    /// Whether a sync check was made on the connection. The response to a second one could be a copy of the first.
     pub(super) is_sync_checked: bool,
-    /// What is known of the server's responses on all connections.
+    /// The server's response history, shared by all of its connections.
     pub(super) history: Rc<ResponseHistory>,
     close_reason: Cell<CloseReason>,
     socket: Rc<P::Tcp>,
-    driver: P::TaskHandle,
-    /// How long it took to connect: one round trip.
+    connection_task: P::TaskHandle,
+    /// The time that connecting took, an estimate of the round-trip time.
     round_trip: Duration,
 }
 
 impl<P: Runtime> Connection<P> {
-    /// Starts HTTP on `socket`, which was connected to `address` within `round_trip`; none if that
-    /// fails. The permit `place` is given back when the connection ends.
+    /// Starts HTTP/1.1 on `socket`, which connected to `address` within `round_trip`. Returns `None` on failure.
+    ///
+    /// `permit` is released when the connection ends.
     pub(super) async fn start(
         number: u64,
         socket: P::Tcp,
@@ -89,7 +93,7 @@
         round_trip: Duration,
         observer: ExchangeObserver<P>,
         history: Rc<ResponseHistory>,
-        place: SocketPermit,
+        permit: SocketPermit,
     ) -> Option<Connection<P>> {
         socket.set_nodelay().ok()?;
         let socket = Rc::new(socket);
@@ -98,9 +102,9 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).allow_obsolete_multiline_headers_in_responses(true);
         let (sender, connection) = builder.handshake(io).await.ok()?;
-        let driver = P::spawn(async move {
-            let _place = place;
-            // An error shows in the attempt that uses the connection.
+        let connection_task = P::spawn(async move {
+            let _permit = permit;
+            // The attempt that uses the connection sees the error.
             let _ = connection.await;
         });
         Some(Connection {
@@ -110,66 +114,69 @@
             number,
             earlier_requests: 0,
             idle_since: P::now(),
-            last_delay: None,
+            last_response_delay: None,
             earlier_bodies: RecentBodies::default(),
             is_sync_checked: false,
             history,
             close_reason: Cell::default(),
             socket,
-            driver,
+            connection_task,
             round_trip,
         })
     }
 
-    /// Whether the server has neither closed the connection nor sent anything unasked for.
+    /// Returns whether the server has neither closed the connection nor sent unexpected bytes.
     ///
-    /// The socket is asked as well, since hyper's own task sees a close only when it runs next.
+    /// The socket is checked too, as hyper's connection task sees a close only when it runs next.
     pub(super) fn is_usable(&self) -> bool {
         !self.sender.is_closed() && self.observer.is_clean() && self.socket.is_idle()
     }
 
-    /// Whether it has carried a request: the server may have closed it unnoticed, and something that belongs to
-    /// an earlier request may still arrive.
+    /// Returns whether the connection has carried a request.
+    ///
+    /// If so, the server may have closed it without the sidecar having noticed, and bytes that belong to an earlier
+    /// request may still arrive.
     pub(super) fn is_used(&self) -> bool {
         self.earlier_requests > 0
     }
 
-    /// Whether it may carry another request: a copy of any response so far would be known.
+    /// Returns whether the connection may carry another request: up to this limit, a copy of any of its responses is
+    /// recognized by its body.
     pub(super) fn is_below_request_limit(&self) -> bool {
         self.earlier_requests < MAX_REQUESTS
     }
 
-    /// Whether it has rested long enough to be used again.
+    /// Returns whether the connection has been idle for long enough to be reused.
     pub(super) fn is_past_quiet_period(&self) -> bool {
         !self.is_used() || P::elapsed_since(self.idle_since) >= QUIET_PERIOD
     }
 
-    /// Notes that a response has ended, and that the connection is idle.
+    /// Records that a response has ended and that the connection is idle.
     pub(super) fn end_response(&mut self) {
         self.idle_since = P::now();
         self.earlier_requests += 1;
         let has_served = self.observer.response_facts().status == Some(StatusCode::OK.as_u16());
-        self.last_delay = self.observer.response_delay().filter(|_| has_served);
+        self.last_response_delay = self.observer.response_delay().filter(|_| has_served);
     }
 
-    /// Notes that it is used again, and that nothing has followed the last response.
+    /// Records that the connection is reused and that no bytes followed its last response.
     pub(super) fn record_clean_reuse(&self) {
-        if let Some(delay) = self.last_delay {
+        if let Some(delay) = self.last_response_delay {
             self.history.record_response(delay);
         }
     }
 
-    /// Whether a response with this body is taken for that to the last request; none if the body is not whole yet.
+    /// Checks whether a response with this body answers the last request. `body` is `None` if it is not complete yet.
     ///
     /// # Errors
     ///
-    /// What speaks against it.
-    pub(super) fn accept_body(
+    /// Returns the sign of a desync.
+    pub(super) fn check_body(
         &mut self,
         body: Option<BodyFingerprint>,
     ) -> Result<(), SuspectedDesync> {
         let delay = self.observer.response_delay().unwrap_or_default();
-        let accepted = if self.is_used() {
+        let result = if self.is_used() {
             let response = LaterResponse {
                 in_turn: self.observer.is_clean(),
                 delay,
@@ -184,21 +191,21 @@
         if let Some(body) = body {
             self.earlier_bodies.push(body);
         }
-        accepted
+        result
     }
 
-    /// Sets why it is about to be closed.
+    /// Sets the reason to log when the connection is closed.
     pub(super) fn set_close_reason(&self, reason: CloseReason) {
         self.close_reason.set(reason);
     }
 
-    /// Closes it for a reason.
+    /// Closes the connection and logs the reason.
     pub(super) fn close(self, reason: CloseReason) {
         self.set_close_reason(reason);
     }
 
-    /// What the log tells of the request that is about to be sent.
-    pub(super) fn next_use(&self) -> ConnectionUse {
+    /// Describes the connection for the request that is about to be sent.
+    pub(super) fn describe_next_use(&self) -> ConnectionUse {
         ConnectionUse {
             connection: self.number,
             earlier_requests: self.earlier_requests,
@@ -207,18 +214,19 @@
         }
     }
 
-    /// How long the last byte of a request is held back to learn whether the connection still exists;
-    /// none if it was not idle so long that it may have been closed.
-    pub(super) fn test_duration(&self) -> Option<Duration> {
-        let needs_test = P::elapsed_since(self.idle_since) >= IDLE_BEFORE_RESET;
-        let duration = (self.round_trip * TEST_ROUND_TRIPS).clamp(SHORTEST_TEST, LONGEST_TEST);
-        needs_test.then_some(duration)
+    /// Returns how long to hold back the last byte of a request as a stale check, or `None` if the connection was not
+    /// idle for long enough to need one.
+    pub(super) fn stale_check_duration(&self) -> Option<Duration> {
+        let needs_check = P::elapsed_since(self.idle_since) >= MIN_IDLE_FOR_STALE_CHECK;
+        let duration =
+            (self.round_trip * STALE_CHECK_ROUND_TRIPS).clamp(MIN_STALE_CHECK, MAX_STALE_CHECK);
+        needs_check.then_some(duration)
     }
 }
 
 impl<P: Runtime> Drop for Connection<P> {
     fn drop(&mut self) {
-        self.observer.look_for_unread(&*self.socket);
+        self.observer.check_for_unread(&*self.socket);
         tracing::debug!(
             connection = self.number,
             address = %self.address,
@@ -226,6 +234,6 @@
             requests = self.earlier_requests,
             "connection to a server closed"
         );
-        self.driver.abort();
+        self.connection_task.abort();
     }
 }
--- a/src/sidecar/upstream/desync.rs
+++ b/src/sidecar/upstream/desync.rs
@@ -1,11 +1,11 @@
-//! Whether a connection may carry another request, and whether a response on one that has carried others
-//! answers the request that was sent last.
+//! Desync detection: whether a response on a reused connection answers the request that was sent last, and whether
+//! connections to a server may be reused at all.
 //!
-//! HTTP/1.1 assigns responses to requests by their order alone. A response that is delivered twice is taken for
-//! the answer to the request that follows on its connection, and so is each one behind it. A first response is
-//! beyond doubt. One on a used connection is accepted unless something speaks against it (see
-//! [`sync_check`](super::sync_check)), and a server whose connections have carried bytes that belong to no response
-//! gets each request on a new one for a while.
+//! HTTP/1.1 matches responses to requests by order alone. If a server sends a response twice, the copy is taken for
+//! the response to the next request on the connection, and each later response is off by one too. The first response
+//! on a connection is always correct. A response on a reused connection is accepted unless there is a sign of a
+//! desync, which a sync check then verifies (see [`sync_check`](super::sync_check)). After bytes that belong to no
+//! response, the server is quarantined: for a while it gets each request on a new connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,25 +16,29 @@
 
 use crate::sidecar::sync_state::DesyncSign;
 
-/// How long a connection is idle at least before it is used again: what arrives meanwhile belongs to no request.
+/// The minimum idle time of a connection before it is reused. Bytes that arrive during it belong to no request.
 pub(super) const QUIET_PERIOD: Duration = Duration::from_millis(30);
-/// How long a server gets each request on a new connection, the first time; doubled each further time.
-const FIRST_QUARANTINE: Duration = Duration::from_secs(10);
-/// The longest such time.
-const LONGEST_QUARANTINE: Duration = Duration::from_secs(600);
-/// A response that begins within this part of the shortest time that the server has needed was made before.
+/// The duration of a server's first quarantine. One that begins soon after the last, within the last one's duration,
+/// lasts twice as long as that.
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(10);
+/// The maximum duration of a quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(600);
+/// A response that begins sooner than the server's fastest response time divided by this is taken to have been sent
+/// before the request arrived.
 const TOO_SOON_DIVISOR: u32 = 4;
-/// How many bodies are remembered of a connection, and how many of a server that were rightly repeated.
+/// The number of bodies to remember: per connection those of its responses, per server those that were repeated
+/// legitimately.
 const MAX_BODIES: usize = 64;
-/// How many requests a connection carries: a copy of any of its responses is known by its body.
+/// The number of requests that a connection may carry. Up to this limit, a copy of any of its responses is recognized
+/// by its body.
 pub(super) const MAX_REQUESTS: u32 = MAX_BODIES as u32;
 
-/// What identifies the whole body of a response.
+/// A hash of the complete body of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct BodyFingerprint(u64);
 
 impl BodyFingerprint {
-    /// The fingerprint of a body.
+    /// Computes the fingerprint of `body`.
     pub(super) fn new(body: &[u8]) -> BodyFingerprint {
         let mut hasher = FxHasher::default();
         hasher.write(body);
@@ -42,14 +46,14 @@
     }
 }
 
-/// The latest of some bodies.
+/// The fingerprints of the most recent bodies, up to [`MAX_BODIES`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentBodies {
     bodies: VecDeque<BodyFingerprint>,
 }
 
 impl RecentBodies {
-    /// Adds a body; the oldest gives way if there are too many.
+    /// Adds a body, and removes the oldest if the limit is reached.
     pub(super) fn push(&mut self, body: BodyFingerprint) {
         if self.bodies.len() == MAX_BODIES {
             self.bodies.pop_front();
@@ -62,78 +66,79 @@
     }
 }
 
-/// A response on a used connection.
+/// A response on a reused connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LaterResponse<'a> {
-    /// Nothing arrived before the request was written in full, or behind the response.
+    /// Whether no bytes arrived before the request was written in full or after the response.
     pub(super) in_turn: bool,
-    /// How long after the last byte of the request it began.
+    /// Time from the last byte of the request to the start of the response.
     pub(super) delay: Duration,
-    /// Its body; none of one that is forwarded while it is received.
+    /// The body, or `None` if it is streamed.
     pub(super) body: Option<BodyFingerprint>,
-    /// Those of the responses before it on its connection.
+    /// The bodies of the earlier responses on the connection.
     pub(super) earlier_bodies: &'a RecentBodies,
 }
 
-/// What speaks against that a response answers the last request on its connection.
+/// A sign that a response does not answer the last request on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SuspectedDesync {
-    /// What it is.
+    /// The sign.
     pub(super) sign: DesyncSign,
     delay: Duration,
     body: Option<BodyFingerprint>,
 }
 
-/// For how long a server gets each request on a new connection.
+/// A period during which a server gets each request on a new connection.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
     until: Instant,
-    time: Duration,
+    duration: Duration,
 }
 
-/// What is known of one server's responses.
+/// Observations of one server's responses on all of its connections.
 #[derive(Debug, Default)]
 pub(super) struct ResponseHistory {
     quarantine: Cell<Option<Quarantine>>,
-    /// The shortest time to the beginning of a response that is beyond doubt.
+    /// The shortest time from a request to its response, among responses known to be correct.
     fastest_response: Cell<Option<Duration>>,
-    /// Bodies that answered more than one request.
+    /// Bodies that legitimately answered more than one request.
     repeated_bodies: RefCell<RecentBodies>,
 }
 
 impl ResponseHistory {
-    /// Whether connections may be used again.
+    /// Returns whether connections to the server may be reused.
     pub(super) fn allows_reuse(&self, now: Instant) -> bool {
         self.quarantine.get().is_none_or(|quarantine| quarantine.until <= now)
     }
 
-    /// Notes that something arrived that belongs to no response. Returns how long connections are not used
-    /// again, if that has just begun.
+    /// Records that bytes arrived that belong to no response, and quarantines the server.
+    ///
+    /// Returns the duration of the quarantine if none was in force.
     pub(super) fn record_unexpected_bytes(&self, now: Instant) -> Option<Duration> {
         let earlier = self.quarantine.get();
         let is_new = self.allows_reuse(now);
-        let time = match earlier {
-            Some(earlier) if is_new && now < earlier.until + earlier.time => {
-                (2 * earlier.time).min(LONGEST_QUARANTINE)
+        let duration = match earlier {
+            Some(earlier) if is_new && now < earlier.until + earlier.duration => {
+                (2 * earlier.duration).min(MAX_QUARANTINE)
             }
-            Some(earlier) if !is_new => earlier.time,
-            _ => FIRST_QUARANTINE,
+            Some(earlier) if !is_new => earlier.duration,
+            _ => INITIAL_QUARANTINE,
         };
-        self.quarantine.set(Some(Quarantine { until: now + time, time }));
-        is_new.then_some(time)
+        self.quarantine.set(Some(Quarantine { until: now + duration, duration }));
+        is_new.then_some(duration)
     }
 
-    /// Notes that a response that is beyond doubt began so long after its request.
+    /// Records the delay between a request and the start of its response, which is known to be correct.
     pub(super) fn record_response(&self, delay: Duration) {
         let fastest = self.fastest_response.get().map_or(delay, |fastest| fastest.min(delay));
         self.fastest_response.set(Some(fastest));
     }
 
-    /// Whether a response on a used connection is taken for its request's.
+    /// Checks a response on a reused connection for signs of a desync.
     ///
     /// # Errors
     ///
-    /// What speaks against it.
+    /// Returns the first sign found.
     pub(super) fn check_response(
         &self,
         response: LaterResponse<'_>,
@@ -155,7 +160,8 @@
         Ok(())
     }
 
-    /// Notes that a response answered its request though something spoke against it.
+    /// Records that a response answered its request despite a sign of a desync. The same delay or body is not taken for
+    /// a sign again.
     pub(super) fn record_false_alarm(&self, suspected: SuspectedDesync) {
         match (suspected.sign, suspected.body) {
             (DesyncSign::TooSoon, _) => self.record_response(suspected.delay),
--- a/src/sidecar/upstream/desync/tests.rs
+++ b/src/sidecar/upstream/desync/tests.rs
@@ -1,4 +1,4 @@
-//! Which responses on used connections are accepted, and how long a server is quarantined.
+//! Tests of desync detection and of the duration of quarantines.
 
 use super::*;
 
@@ -8,8 +8,8 @@
     BodyFingerprint::new(text.as_bytes())
 }
 
-/// A server whose fastest response took 8 ms, and a connection that has carried one to `first`.
-fn used() -> (ResponseHistory, RecentBodies) {
+/// The history of a server whose fastest response took 8 ms, and the bodies of a connection that has carried `first`.
+fn reused_connection() -> (ResponseHistory, RecentBodies) {
     let (history, mut earlier) = (ResponseHistory::default(), RecentBodies::default());
     history.record_response(8 * MS);
     earlier.push(body("first"));
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn response_of_its_own_in_its_time_is_accepted() {
-    let (history, earlier) = used();
+fn new_body_after_a_plausible_delay_is_accepted() {
+    let (history, earlier) = reused_connection();
     assert_eq!(check_response(&history, &earlier, "second", 2 * MS), Ok(()));
 }
 
 #[test]
 fn response_that_is_out_of_turn_too_soon_or_repeated_is_not_accepted() {
-    let (history, earlier) = used();
+    let (history, earlier) = reused_connection();
     let response = LaterResponse {
         in_turn: false,
         delay: 9 * MS,
@@ -48,22 +48,22 @@
 }
 
 #[test]
-fn body_counts_as_repeated_for_as_long_as_its_connection_carries_requests() {
-    let (history, mut earlier) = used();
+fn bodies_are_remembered_for_the_lifetime_of_a_connection() {
+    let (history, mut earlier) = reused_connection();
     (2..MAX_REQUESTS).for_each(|n| earlier.push(body(&n.to_string())));
     assert_eq!(check_response(&history, &earlier, "first", 9 * MS), Err(DesyncSign::RepeatedBody));
     assert_eq!(
         earlier.bodies.len(),
         MAX_BODIES - 1,
-        "the last response is the one that is checked"
+        "the body of the last response is the one that is checked"
     );
     (0..2 * MAX_BODIES).for_each(|n| earlier.push(body(&n.to_string())));
-    assert_eq!(earlier.bodies.len(), MAX_BODIES, "no more are kept");
+    assert_eq!(earlier.bodies.len(), MAX_BODIES, "the oldest bodies are dropped");
 }
 
 #[test]
-fn acquitted_response_lowers_the_bound_or_may_be_repeated() {
-    let (history, mut earlier) = used();
+fn false_alarm_lowers_the_delay_limit_or_allows_the_body_again() {
+    let (history, mut earlier) = reused_connection();
     earlier.push(body("other"));
     let checked = |text: &str, delay| {
         let body = Some(body(text));
@@ -76,29 +76,36 @@
     };
     history.record_false_alarm(checked("first", 9 * MS).expect_err("a repeated body"));
     assert_eq!(checked("first", 9 * MS), Ok(()));
-    assert!(checked("other", 9 * MS).is_err(), "another body is still a sign");
+    assert!(
+        checked("other", 9 * MS).is_err(),
+        "a false alarm about one body does not allow another"
+    );
     history.record_false_alarm(checked("second", MS).expect_err("too soon"));
     assert_eq!(checked("third", MS), Ok(()));
 }
 
 #[test]
-fn body_that_is_not_whole_yet_is_not_compared() {
-    let (history, earlier) = used();
+fn incomplete_body_is_not_compared() {
+    let (history, earlier) = reused_connection();
     let response =
         LaterResponse { in_turn: true, delay: 9 * MS, body: None, earlier_bodies: &earlier };
     assert_eq!(history.check_response(response), Ok(()));
 }
 
 #[test]
-fn quarantine_lasts_longer_each_time_up_to_a_bound_and_is_forgotten() {
+fn quarantine_doubles_up_to_a_limit_and_is_reset_after_a_quiet_time() {
     let history = ResponseHistory::default();
     let mut now = Instant::now();
-    let mut expected = FIRST_QUARANTINE;
+    let mut expected = INITIAL_QUARANTINE;
     for _ in 0..10 {
         assert_eq!(history.record_unexpected_bytes(now), Some(expected));
-        assert_eq!(history.record_unexpected_bytes(now), None, "it lasts already");
+        assert_eq!(
+            history.record_unexpected_bytes(now),
+            None,
+            "the quarantine is already in force"
+        );
         now += expected;
-        expected = (2 * expected).min(LONGEST_QUARANTINE);
+        expected = (2 * expected).min(MAX_QUARANTINE);
     }
-    assert_eq!(history.record_unexpected_bytes(now + LONGEST_QUARANTINE), Some(FIRST_QUARANTINE));
+    assert_eq!(history.record_unexpected_bytes(now + MAX_QUARANTINE), Some(INITIAL_QUARANTINE));
 }
--- a/src/sidecar/upstream/exchange.rs
+++ b/src/sidecar/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request and its response on a connection.
+//! An attempt: the exchange of a request and its response with one server.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,27 +21,28 @@
 use crate::sidecar::invariants::{self, SendRefusal};
 use crate::sidecar::sync_state::{DesyncSign, SyncState};
 
-/// A connection that was closed before it was used shows that within this time.
+/// If a reused connection fails within this time after a request was sent, the server is taken to have closed it
+/// before the request arrived.
 const STALE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The log's message of a response that may answer an earlier request on its connection.
+/// Log message for a check of whether a response answers an earlier request on its connection.
 const SYNC_CHECK_MESSAGE: &str = "connection checked for an earlier response";
-/// The log's message of a request that is sent once more as part of the same attempt.
+/// Log message for a request that is sent again within the same attempt.
 const RESEND_MESSAGE: &str = "request sent again on a new connection";
 
-/// Why a request is sent once more on a new connection, as part of the same attempt.
+/// Why a request is sent again on a new connection within the same attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResendReason {
-    /// Its connection had been closed, and not all of it was sent.
+    /// The connection was closed before the request was sent in full.
     NotSent,
-    /// Its connection may have been closed before it was sent in full.
+    /// The request was sent in full, but the server had probably closed the connection before.
     StaleConnection,
-    /// The response may answer an earlier request on its connection.
+    /// The response may answer an earlier request on the connection.
     Desync,
 }
 
 impl ResendReason {
-    /// The name in logs.
+    /// Returns the name used in logs.
     fn name(self) -> &'static str {
         match self {
             ResendReason::NotSent => "not_sent",
@@ -51,23 +52,25 @@
     }
 }
 
-/// What follows when a connection brought no response that is taken for the request's.
+/// The next step of an attempt after an exchange on a connection.
 enum NextStep {
+    /// Send the request again on a new connection.
     Resend(ResendReason),
-    /// The attempt has ended.
+    /// End the attempt with this result.
     End(Box<AttemptResult>),
 }
 
 impl NextStep {
-    /// The attempt has ended without a response.
+    /// Ends the attempt without a response.
     fn end(outcome: Outcome) -> NextStep {
         NextStep::End(Box::new(AttemptResult::without_response(outcome)))
     }
 }
 
 impl<P: Runtime> Upstream<P> {
-    /// Makes one attempt at `endpoint`; `number`: its place among the request's attempts. Dropping the future
-    /// cancels the attempt.
+    /// Makes an attempt at `endpoint`. `number` is the index of the attempt within the request.
+    ///
+    /// Dropping the future cancels the attempt.
     pub async fn attempt(
         self: &Rc<Upstream<P>>,
         number: usize,
@@ -88,7 +91,7 @@
         exchange.run().await
     }
 
-    /// Waits until a response that has begun makes no progress.
+    /// Completes when a response that has begun makes no progress for the allowed gap.
     async fn response_stalled(&self, observer: &ExchangeObserver<P>) {
         loop {
             let Some(active_at) = observer.response_active_at() else {
@@ -103,10 +106,10 @@
     }
 }
 
-/// An attempt under way. It may use a second connection if the first turns out to be closed.
+/// An attempt in progress. It uses further connections if a pooled one turns out to be closed or out of sync.
 struct Exchange<'a, P: Runtime> {
     upstream: &'a Rc<Upstream<P>>,
-    /// Its place among the request's attempts.
+    /// The index of the attempt within the request.
     number: usize,
     endpoint: Endpoint,
     request: &'a Rc<UpstreamRequest>,
@@ -130,7 +133,7 @@
         result
     }
 
-    /// Counts and logs that the attempt's end does not prove that it was not executed.
+    /// Counts and logs that the server may have executed the request although the outcome says that it did not.
     fn record_doubt(&self, doubt: ExecutionDoubt) {
         self.upstream.status.events.record_doubt(doubt);
         tracing::info!(
@@ -145,13 +148,13 @@
         );
     }
 
-    /// Whether that the request was not executed has to be proven, as it must not simply be repeated.
+    /// Returns whether repeating the request requires proof that it was not executed.
     fn needs_proof(&self) -> bool {
         self.request.retry_safety != RetrySafety::Idempotent
     }
 
-    /// Notes what passed on a connection that is not used any more for this attempt.
-    fn note_exchange(&mut self, observer: &ExchangeObserver<P>) {
+    /// Adds the facts of an exchange that is over to those of the attempt.
+    fn record_exchange(&mut self, observer: &ExchangeObserver<P>) {
         self.facts.copies_sent += u32::from(observer.is_request_sent());
         self.facts.response = observer.response_facts();
         if let Some(connection_use) = &mut self.connection_use {
@@ -160,7 +163,7 @@
     }
 
     async fn exchange(&mut self) -> AttemptResult {
-        // The part of a streamed body that is lost on a closed connection cannot be sent again.
+        // A streamed body gets a new connection: the part lost on a closed one could not be sent again.
         let mut idle = match self.request.upload {
             None => self.upstream.take_idle(self.endpoint, self.needs_proof()).await,
             Some(_) => None,
@@ -173,8 +176,8 @@
             let Some(mut connection) = connection else {
                 return AttemptResult::without_response(Outcome::ConnectFailed);
             };
-            // Where attempts may not be cancelled, one that waits for its connection would be sent for
-            // a request that is finished, and its effect would take place for nobody.
+            // Where attempts are not cancelled, the request may have finished while this one waited for its
+            // connection. Sending it now would have it executed with nobody waiting for the response.
             let sent_at = P::now();
             if let Err(refusal) = self.may_send(sent_at) {
                 self.upstream.status.events.record_refusal(refusal);
@@ -183,18 +186,18 @@
                 return AttemptResult::without_response(Outcome::NotSent);
             }
             self.upstream.status.discovery.record_attempt();
-            self.connection_use = Some(connection.next_use());
+            self.connection_use = Some(connection.describe_next_use());
             self.facts.connection_settled = !connection.is_used();
             let observer = connection.observer.clone();
             let next = match self.receive_head(&mut connection, &observer).await {
                 Some(response) => {
                     let received = self.receive_response(connection, &observer, response).await;
-                    self.note_exchange(&observer);
+                    self.record_exchange(&observer);
                     self.verify(received).await
                 }
                 None => {
-                    self.note_exchange(&observer);
-                    self.after_break(&connection, sent_at)
+                    self.record_exchange(&observer);
+                    self.after_connection_failure(&connection, sent_at)
                 }
             };
             match next {
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Logs that the request is sent once more after `sent_at`, and keeps its repeats within their window.
+    /// Logs that the request, last sent at `sent_at`, is sent again, and limits that to its idempotency window.
     fn prepare_resend(&mut self, reason: ResendReason, sent_at: Instant) {
         let may_have_run = self.facts.copies_sent > 0;
         let (request, attempt) = (self.request.correlation_id(), self.number);
@@ -216,8 +219,8 @@
             tracing::debug!(request, attempt, %address, reason, may_have_run, connection_use, "{RESEND_MESSAGE}");
         }
         if may_have_run {
-            // The new connection may take longer to come up than the first copy is remembered.
-            self.limits.note_sent(sent_at);
+            // Connecting may take longer than the server remembers the first copy.
+            self.limits.record_sent(sent_at);
         }
     }
 
@@ -225,13 +228,11 @@
         invariants::may_send(self.limits.send_facts(self.request, now))
     }
 
-    /// Sends the request and waits for the head of its response; none if the connection breaks or the
-    /// head stalls.
+    /// Sends the request and returns the head of its response, or `None` if the connection fails or the head stalls.
     ///
-    /// A response that has begun and makes no progress would hold the request until its deadline,
-    /// whatever is wrong with it: a head or a body that stops, a length that is too long. It has
-    /// failed, and an idempotent request goes to another server in time. This is a disadvantage with
-    /// servers that respond in pieces which are far apart.
+    /// A response that has begun and then stalls (an incomplete head or body, or a content length that is too large)
+    /// would otherwise occupy the request until its deadline. It counts as failed, so that an idempotent request
+    /// still has time for another server. The drawback: servers that send parts of a response far apart fail too.
     async fn receive_head(
         &self,
         connection: &mut Connection<P>,
@@ -242,7 +243,7 @@
             response = send_request(connection, self.request, &self.limits) => response,
             () = self.upstream.response_stalled(observer) => None,
         };
-        // A response that came before the request was sent answers something else.
+        // A response that arrives before the request was sent in full cannot answer it, unless the request is streamed.
         response.filter(|_| observer.is_request_sent() || self.request.upload.is_some())
     }
 
@@ -253,10 +254,10 @@
         response: Response<Incoming>,
     ) -> Received<P> {
         if !observer.is_request_sent() {
-            // The server wants no more of a streamed body. Its response ends the connection.
+            // The server responded before the end of a streamed body. The connection cannot be used further.
             let unprocessed = is_unprocessed(&response);
             let outcome = if unprocessed { Outcome::Rejected } else { Outcome::ErrorResponse };
-            return Received::nothing(outcome);
+            return Received::without_response(outcome);
         }
         let (server, needs_proof) = (self.endpoint.server, self.needs_proof());
         let result = self.upstream.read_response(server, connection, response, needs_proof);
@@ -264,12 +265,12 @@
             biased;
             result = result => result,
             () = self.upstream.response_stalled(observer) => {
-                Received::nothing(Outcome::ConnectionReset)
+                Received::without_response(Outcome::ConnectionReset)
             }
         }
     }
 
-    /// What follows a response: where it may answer an earlier request, a check of its connection tells.
+    /// Returns the next step after a response. One that may answer an earlier request is verified by a sync check.
     async fn verify(&mut self, received: Received<P>) -> NextStep {
         let (result, connection, suspected) = match received {
             Received::Ended(result) => return NextStep::End(Box::new(result)),
@@ -284,16 +285,16 @@
         let state = self.check_sync(connection, suspected).await;
         self.log_sync_check(suspected, state);
         self.facts.connection_settled = state == SyncState::InSync;
-        let is_taken = state == SyncState::InSync || suspected.is_none();
+        let is_accepted = state == SyncState::InSync || suspected.is_none();
         match self.request.retry_safety {
-            // What a rejection proves is told by the facts.
-            _ if is_taken => NextStep::End(Box::new(result)),
+            // For a rejection, `ExecutionFacts::never_ran` decides what it proves.
+            _ if is_accepted => NextStep::End(Box::new(result)),
             RetrySafety::NonIdempotent => NextStep::end(Outcome::ConnectionReset),
             _ => NextStep::Resend(ResendReason::Desync),
         }
     }
 
-    /// Whether the last response on `connection` answers the request; not known without one.
+    /// Returns whether the last response on `connection` answers the request; unknown without a connection.
     async fn check_sync(
         &self,
         connection: Option<Box<Connection<P>>>,
@@ -310,7 +311,7 @@
         state
     }
 
-    /// Counts and logs a check of whether a response answers this request, and what had spoken against that.
+    /// Counts and logs the result of a sync check and the sign of a desync that caused it.
     fn log_sync_check(&self, suspected: Option<SuspectedDesync>, state: SyncState) {
         let sign = suspected.map(|suspected| suspected.sign);
         self.upstream.status.events.record_sync_check(state, sign);
@@ -325,18 +326,17 @@
         }
     }
 
-    /// What follows after the connection broke without a response to what was sent at `sent_at`.
-    fn after_break(&self, connection: &Connection<P>, sent_at: Instant) -> NextStep {
+    /// Returns the next step after the connection failed without a response to the request sent at `sent_at`.
+    fn after_connection_failure(&self, connection: &Connection<P>, sent_at: Instant) -> NextStep {
         let observer = &connection.observer;
         let sent = observer.is_request_sent();
         if !sent && let Err(refusal) = self.may_send(P::now()) {
             self.upstream.status.events.record_refusal(refusal);
             return NextStep::end(Outcome::NotSent);
         }
-        // A server may close a connection just as the request is written. An idempotent one goes to the
-        // same server again at once, as part of the same attempt: the server has not chosen to fail
-        // it. Nothing of a response must have arrived, and the break must come as soon as one that
-        // happened before.
+        // A server may close an idle connection just as a request is written to it. That is no failure of the
+        // request, so one that may be repeated is sent to the same server again within the same attempt. This
+        // requires that no byte of a response arrived and that the connection failed soon after the request.
         let was_stale = connection.is_used()
             && observer.response_active_at().is_none()
             && P::elapsed_since(sent_at) < STALE_CONNECTION_TIMEOUT;
@@ -344,8 +344,8 @@
             (true, true) => NextStep::Resend(ResendReason::StaleConnection),
             (true, false) => NextStep::Resend(ResendReason::NotSent),
             (false, true) => NextStep::end(Outcome::ConnectionReset),
-            // An idle connection may be reset by the first byte written to it. The server has not begun
-            // on the request, which gets a new connection.
+            // The first byte written to an idle connection may cause a reset. The server cannot have executed
+            // the request, which is sent again on a new connection.
             (false, false) if connection.is_used() => NextStep::Resend(ResendReason::NotSent),
             (false, false) => NextStep::end(Outcome::ConnectFailed),
         }
--- a/src/sidecar/upstream/health_check.rs
+++ b/src/sidecar/upstream/health_check.rs
@@ -12,19 +12,19 @@
 use crate::api::{LoadReport, Outcome};
 use crate::sidecar::body::STREAM_WINDOW_BYTES;
 
-/// Where servers report their load.
+/// The path at which servers report their load.
 const LOAD_PATH: &str = "/stats";
-/// Where servers that do not report their load tell that they are alive.
+/// The liveness path of servers that do not report their load.
 const LIVENESS_PATH: &str = "/health/live";
-/// What a health check may take beyond the time to connect.
+/// The timeout of a health check in addition to the connect timeout.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a health check asks a server for.
+/// The kind of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckKind {
-    /// Whether it is alive.
+    /// Checks only that the server responds.
     Liveness,
-    /// Whether it is alive, and a load report.
+    /// Checks that the server responds, and reads its load report.
     LoadReport,
 }
 
@@ -39,21 +39,21 @@
 
 /// The result of a health check.
 pub struct HealthCheckResult {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The load report; empty if none was asked for, or the server gave none.
+    /// The load report, empty if the response contains none.
     pub report: LoadReport,
 }
 
 impl HealthCheckResult {
-    /// The result of a check without a response.
+    /// Creates the result of a health check without a response.
     pub fn without_response(outcome: Outcome) -> HealthCheckResult {
         HealthCheckResult { outcome, report: LoadReport::default() }
     }
 }
 
 impl<P: Runtime> Upstream<P> {
-    /// Checks the health of a server on a connection of its own.
+    /// Checks the health of a server on a new connection.
     pub async fn check_health(
         &self,
         endpoint: Endpoint,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// The result of a response, or the outcome without one.
+    /// Makes the request of a health check. Without a response, the error is its outcome.
     async fn exchange_health_check(
         &self,
         endpoint: Endpoint,
         kind: HealthCheckKind,
     ) -> Result<HealthCheckResult, Outcome> {
         let mut connection = self.connect(endpoint).await.ok_or(Outcome::ConnectFailed)?;
-        let request = UpstreamRequest::own(kind.path());
+        let request = UpstreamRequest::internal(kind.path());
         let limits = AttemptLimits::unlimited(P::now() + self.live.timeouts().connect);
         let response = send_request(&mut connection, &request, &limits).await;
         let (head, body) = response.map(Response::into_parts).ok_or(Outcome::ConnectionReset)?;
--- a/src/sidecar/upstream/mod.rs
+++ b/src/sidecar/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: a pool of idle ones, and the attempts and health checks made on them.
+//! Connections to servers: the connection pool, and the attempts and health checks that use it.
 //!
-//! Each attempt has exactly one [`AttemptResult`]. Which server an attempt goes to, and what follows
-//! its result, is decided by the balancer.
+//! Each attempt produces exactly one [`AttemptResult`]. The balancer chooses the server of an attempt and decides
+//! what follows its result.
 
 mod attempt_result;
 mod close_reason;
@@ -34,22 +34,22 @@
 pub use health_check::{HealthCheckKind, HealthCheckResult};
 pub use request::{AttemptLimits, RequestClient, UpstreamRequest};
 
-/// A server, and the address to connect to.
+/// A server and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// Where it accepts connections from this sidecar.
+    /// The address at which the server accepts connections from this sidecar.
     pub address: SocketAddr,
 }
 
-/// All connections to servers.
+/// The pool of connections to servers.
 pub struct Upstream<P: Runtime> {
-    /// Idle connections of each server, the most recently used one last.
+    /// Idle connections by server, in the order in which they became idle.
     idle: RefCell<FxHashMap<ServerId, Vec<Connection<P>>>>,
-    /// What is known of the responses of each server.
+    /// Response history by server, used to detect desyncs.
     histories: RefCell<FxHashMap<ServerId, Rc<ResponseHistory>>>,
-    /// How many connections were opened so far.
+    /// Number of connections opened so far.
     opened: Cell<u64>,
     sockets: Rc<SocketBudget>,
     body_memory: BodyBudget,
@@ -58,7 +58,7 @@
 }
 
 impl<P: Runtime> Upstream<P> {
-    /// Starts without connections, and spawns the task that closes expired idle ones.
+    /// Creates an empty pool and spawns the task that closes expired idle connections.
     pub fn new(
         sockets: Rc<SocketBudget>,
         body_memory: BodyBudget,
--- a/src/sidecar/upstream/observer.rs
+++ b/src/sidecar/upstream/observer.rs
@@ -1,8 +1,8 @@
-//! Follows the bytes of a request and of its response on a connection, beneath hyper.
+//! Observes the bytes of requests and responses on a connection, between hyper and the socket.
 //!
-//! hyper reports that a connection broke, but not whether the last byte of the request had been
-//! written before. A request that had not been sent in full was not executed, and may be sent again
-//! even if it is not idempotent.
+//! hyper reports that a connection failed, but not whether the last byte of the request was written
+//! before. A request that was not sent in full was not executed, and may be sent again even if it is
+//! not idempotent.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,46 +20,48 @@
 use crate::sidecar::framing::{Framing, MessageKind};
 use crate::sidecar::status::Status;
 
-/// The length of the sequence that ends a head: CR LF CR LF.
+/// The length in bytes of the sequence that ends a head: CR LF CR LF.
 const HEAD_TERMINATOR_LENGTH: usize = 4;
 
-/// How far writing a request has come.
+/// How much of a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum RequestPhase {
     /// There was no request yet.
     #[default]
-    None,
-    /// Nothing of it has been written.
-    Begun,
-    /// Some of it has been written, or all.
-    Started,
+    Idle,
+    /// No byte of the request has been written.
+    Pending,
+    /// Some or all bytes of the request have been written.
+    InProgress,
 }
 
-/// How much of a request has been written.
+/// Tracks the end of a request in the bytes that are written.
 #[derive(Default)]
 struct RequestProgress {
     phase: Cell<RequestPhase>,
-    /// How many bytes of the head's terminator were the last to be written.
+    /// Length of the head terminator's prefix that the written bytes end with.
     terminator_matched: Cell<usize>,
     in_head: Cell<bool>,
-    /// Bytes of the body that are still to be written.
+    /// Number of bytes of the body still to be written.
     body_left: Cell<u64>,
-    /// When the last byte was written; none before.
+    /// When the last byte was written, or `None` before.
     completed_at: Cell<Option<Instant>>,
 }
 
 impl RequestProgress {
-    /// Begins a request with a body of `body` bytes.
+    /// Starts a request with a body of `body` bytes.
     fn begin(&self, body: u64) {
-        self.phase.set(RequestPhase::Begun);
+        self.phase.set(RequestPhase::Pending);
         self.terminator_matched.set(0);
         self.in_head.set(true);
         self.body_left.set(body);
         self.completed_at.set(None);
     }
 
-    /// Looks for the end of the head in `bytes`, which are the next to be written: the position after
-    /// it, or else how many bytes of the terminator they end with.
+    /// Finds the end of the head in `bytes`, the next bytes to be written.
+    ///
+    /// Returns the position after the head, or as an error the length of the terminator's prefix that `bytes` end
+    /// with.
     fn find_head_end(&self, bytes: &[u8]) -> Result<usize, usize> {
         let mut matched = self.terminator_matched.get();
         for (index, &byte) in bytes.iter().enumerate() {
@@ -75,17 +77,17 @@
         Err(matched)
     }
 
-    /// Where in `bytes`, which are the next to be written, the request ends, if it does.
+    /// Returns the position in `bytes`, the next bytes to be written, at which the request ends, if it does.
     fn find_end(&self, bytes: &[u8]) -> Option<usize> {
         let head = if self.in_head.get() { self.find_head_end(bytes).ok()? } else { 0 };
         let left = usize::try_from(self.body_left.get()).ok()?;
         head.checked_add(left).filter(|&end| end <= bytes.len())
     }
 
-    /// Notes that `bytes` were written; whether nothing of the request is left.
+    /// Records that `bytes` were written. Returns whether the request is complete.
     fn advance(&self, mut bytes: &[u8]) -> bool {
         if !bytes.is_empty() {
-            self.phase.set(RequestPhase::Started);
+            self.phase.set(RequestPhase::InProgress);
         }
         if self.in_head.get() {
             match self.find_head_end(bytes) {
@@ -104,36 +106,37 @@
     }
 }
 
-/// Follows the exchanges on one connection, one after the other.
+/// Observes the successive exchanges on one connection.
 ///
 /// It can hold back the last byte of a request ([`ExchangeObserver::hold_last_byte`]), until
-/// [`ExchangeObserver::release`].
+/// [`ExchangeObserver::release_last_byte`].
 pub(super) struct ExchangeObserver<P> {
     /// The address of the server.
     address: SocketAddr,
-    /// What is known of the server's responses on all connections.
+    /// The server's response history, shared by all of its connections.
     history: Rc<ResponseHistory>,
     request: RequestProgress,
     response: RefCell<Framing>,
-    /// When the first bytes of the final response arrived, if any have.
+    /// When the first bytes of the final response arrived, or `None` before.
     response_began_at: Cell<Option<Instant>>,
-    /// When bytes of the final response last arrived, if any have.
+    /// When bytes of the final response last arrived, or `None` before the first.
     response_active_at: Cell<Option<Instant>>,
     response_began: Notify,
-    /// Something arrived that belongs to no response: the connection cannot be used again.
+    /// Whether bytes arrived that belong to no response. The connection cannot be reused then.
     unexpected_bytes: Cell<bool>,
     holds_last_byte: Cell<bool>,
-    writer: Cell<Option<Waker>>,
+    write_waker: Cell<Option<Waker>>,
     status: Rc<Status>,
-    platform: PhantomData<P>,
+    runtime: PhantomData<P>,
 }
 
 impl<P: Runtime> ExchangeObserver<P> {
-    /// For a new connection to the server at `address`. Bodies of responses may be `longest_body` bytes long;
-    /// requests that are sent in full are counted in `status`.
+    /// Creates an observer for a new connection to the server at `address`.
+    ///
+    /// Response bodies may have up to `max_body_bytes`. Requests that are sent in full are counted in `status`.
     pub(super) fn new(
         address: SocketAddr,
-        longest_body: usize,
+        max_body_bytes: usize,
         history: Rc<ResponseHistory>,
         status: Rc<Status>,
     ) -> ExchangeObserver<P> {
@@ -141,19 +144,19 @@
             address,
             history,
             request: RequestProgress::default(),
-            response: RefCell::new(Framing::new(MessageKind::Response, longest_body)),
+            response: RefCell::new(Framing::new(MessageKind::Response, max_body_bytes)),
             response_began_at: Cell::new(None),
             response_active_at: Cell::new(None),
             response_began: Notify::new(),
             unexpected_bytes: Cell::new(false),
             holds_last_byte: Cell::new(false),
-            writer: Cell::new(None),
+            write_waker: Cell::new(None),
             status,
-            platform: PhantomData,
+            runtime: PhantomData,
         }
     }
 
-    /// Begins an exchange whose request has a body of `body` bytes.
+    /// Starts an exchange whose request has a body of `body` bytes, or `u64::MAX` if the length is unknown.
     pub(super) fn begin(&self, body: u64) {
         self.response.borrow_mut().start_next();
         self.response_began_at.set(None);
@@ -162,36 +165,36 @@
         self.holds_last_byte.set(false);
     }
 
-    /// Looks for bytes that nobody has read on a connection that is about to be closed.
-    pub(super) fn look_for_unread(&self, socket: &P::Tcp) {
-        let has_request = self.request.phase.get() != RequestPhase::None;
+    /// Checks a connection that is about to be closed for unread bytes, which belong to no response.
+    pub(super) fn check_for_unread(&self, socket: &P::Tcp) {
+        let has_request = self.request.phase.get() != RequestPhase::Idle;
         let is_over = !has_request || self.response.borrow().is_complete();
         if is_over && socket.has_unread() {
             self.record_unexpected_bytes();
         }
     }
 
-    /// Notes that something arrived that belongs to no response: the connection cannot be used again.
+    /// Records that bytes arrived that belong to no response. The connection cannot be reused then.
     pub(super) fn record_unexpected_bytes(&self) {
         if self.unexpected_bytes.replace(true) {
             return;
         }
-        if let Some(time) = self.history.record_unexpected_bytes(P::now()) {
+        if let Some(duration) = self.history.record_unexpected_bytes(P::now()) {
             self.status.events.record_reuse_suspension();
             tracing::info!(
                 address = %self.address,
-                for_s = time.as_secs(),
+                for_s = duration.as_secs(),
                 "server sent unexpected bytes, its connections are not reused"
             );
         }
     }
 
-    /// Holds back the last byte of the request that has just begun.
+    /// Holds back the last byte of the current request, of which nothing has been written yet.
     pub(super) fn hold_last_byte(&self) {
         self.holds_last_byte.set(true);
     }
 
-    /// Notes that the last byte of the request has been written.
+    /// Records that the last byte of the request has been written.
     pub(super) fn request_sent(&self) {
         if !self.is_request_sent() {
             self.request.completed_at.set(Some(P::now()));
@@ -199,26 +202,27 @@
         }
     }
 
-    /// Whether the last byte of the request has been written: it may have been executed.
+    /// Returns whether the last byte of the request has been written, so that the server may have executed it.
     pub(super) fn is_request_sent(&self) -> bool {
         self.request.completed_at.get().is_some()
     }
 
-    /// Lets the last byte of the request be written.
-    pub(super) fn release(&self) {
+    /// Lets the last byte of the request be written if it is held back.
+    pub(super) fn release_last_byte(&self) {
         self.holds_last_byte.set(false);
-        if let Some(writer) = self.writer.take() {
-            writer.wake();
+        if let Some(write_waker) = self.write_waker.take() {
+            write_waker.wake();
         }
     }
 
-    /// When bytes of the final response last arrived, if any have.
+    /// Returns when bytes of the final response last arrived, or `None` before the first.
     pub(super) fn response_active_at(&self) -> Option<Instant> {
         self.response_active_at.get()
     }
 
-    /// How long after the last byte of the request the final response began; none if either is still to
-    /// come, zero if the response came first.
+    /// Returns the time from the last byte of the request to the first byte of the final response.
+    ///
+    /// It is `None` until both have occurred, and zero if the response came first.
     pub(super) fn response_delay(&self) -> Option<Duration> {
         let (sent, began) = (self.request.completed_at.get()?, self.response_began_at.get()?);
         Some(began.saturating_duration_since(sent))
@@ -229,12 +233,12 @@
         self.response_began.notified().await;
     }
 
-    /// Whether the response says how long its body is.
+    /// Returns whether the head of the response determines where its body ends.
     pub(super) fn has_delimited_response(&self) -> bool {
         self.response.borrow().has_explicit_end()
     }
 
-    /// What has arrived in response to the request.
+    /// Returns the facts about what arrived in response to the request.
     pub(super) fn response_facts(&self) -> ResponseFacts {
         let response = self.response.borrow();
         ResponseFacts {
@@ -245,15 +249,15 @@
         }
     }
 
-    /// Whether nothing has arrived that belongs to no response.
+    /// Returns whether all bytes that arrived belong to a response.
     pub(super) fn is_clean(&self) -> bool {
         !self.unexpected_bytes.get()
     }
 
-    /// Whether the connection can be used for another request.
+    /// Returns whether the connection can be used for another request.
     ///
-    /// What follows a response would be taken for the response to the next request. A connection on
-    /// which a response ended otherwise than by its announced length is not used again either.
+    /// Bytes that follow a response would be taken for the response to the next request. A response that did not end
+    /// where its head says prevents reuse too.
     pub(super) fn is_reusable(&self) -> bool {
         self.is_clean() && self.response.borrow().is_complete()
     }
@@ -262,13 +266,13 @@
 impl<P: Runtime> Observer for ExchangeObserver<P> {
     fn on_read(&self, bytes: &[u8]) -> io::Result<()> {
         let mut response = self.response.borrow_mut();
-        // What arrives before the last byte of the request was written does not answer it.
+        // Bytes that arrive before the last byte of the request was written cannot answer it.
         if !bytes.is_empty() && (!self.is_request_sent() || response.is_complete()) {
             self.record_unexpected_bytes();
         }
         if let Err(fault) = response.feed(bytes) {
             if response.is_complete() {
-                // It follows a complete response, which hyper may have.
+                // The bytes follow a complete response, which hyper may still deliver.
                 self.record_unexpected_bytes();
                 return Ok(());
             }
@@ -285,7 +289,7 @@
     }
 
     fn requires_silence(&self) -> bool {
-        self.request.phase.get() == RequestPhase::Begun
+        self.request.phase.get() == RequestPhase::Pending
     }
 
     fn limits_writes(&self) -> bool {
@@ -295,7 +299,7 @@
     fn poll_write_allowance(&self, bytes: &[u8], cx: &mut Context<'_>) -> Poll<usize> {
         match self.request.find_end(bytes) {
             Some(1) if self.holds_last_byte.get() => {
-                self.writer.set(Some(cx.waker().clone()));
+                self.write_waker.set(Some(cx.waker().clone()));
                 Poll::Pending
             }
             Some(end) if self.holds_last_byte.get() && end > 1 => Poll::Ready(end - 1),
--- a/src/sidecar/upstream/pool.rs
+++ b/src/sidecar/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: idle connections, and establishing new ones.
+//! The connection pool: keeps idle connections and opens new ones.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -14,15 +14,15 @@
 use crate::api::ServerId;
 use crate::sidecar::budget::SocketPermit;
 
-/// How often expired idle connections are looked for.
+/// How often expired idle connections are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// How often another idle connection is closed while an attempt waits for a socket.
-const CLOSE_FOR_ROOM_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a connection may take to be ready for the next request after a response.
+/// How often a further idle connection is closed while an attempt waits for a socket permit.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// How long an idle connection may take to become ready for the next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<P: Runtime> Upstream<P> {
-    /// Closes idle connections that are about to expire or are closed already; never ends.
+    /// Closes idle connections that have expired or were closed by the server. Never returns.
     pub(super) async fn evict_expired(self: Rc<Upstream<P>>) {
         loop {
             P::sleep(EVICTION_INTERVAL).await;
@@ -38,15 +38,14 @@
         }
     }
 
-    /// Closes the idle connections to `server`.
+    /// Closes all idle connections to `server`.
     pub fn close_idle(&self, server: ServerId) {
         for connection in self.idle.borrow_mut().remove(&server).into_iter().flatten() {
             connection.close(CloseReason::Unwanted);
         }
     }
 
-    /// Keeps a connection on which a request has been answered for the next attempt, if it can be used again, or
-    /// else closes it.
+    /// Returns a connection to the pool after a response, or closes it if it cannot be reused.
     pub(super) fn return_to_pool(&self, server: ServerId, mut connection: Connection<P>) {
         if !connection.observer.is_reusable() {
             return connection.close(CloseReason::NotReusable);
@@ -61,13 +60,14 @@
         self.put_back(server, connection);
     }
 
-    /// Keeps a connection for the next attempt on which nothing was sent since it was opened or taken.
+    /// Returns a connection to the pool on which nothing was sent since it was opened or taken.
     pub(super) fn put_back(&self, server: ServerId, connection: Connection<P>) {
         self.idle.borrow_mut().entry(server).or_default().push(connection);
     }
 
-    /// Takes a usable idle connection to `endpoint` from the pool, if there is one. With `needs_proof` it is
-    /// one on which a rejection can be proven.
+    /// Takes a usable idle connection to `endpoint` from the pool, if there is one.
+    ///
+    /// With `needs_proof`, only connections qualify on which a sync check can still verify a rejection.
     pub(super) async fn take_idle(
         &self,
         endpoint: Endpoint,
@@ -75,7 +75,7 @@
     ) -> Option<Connection<P>> {
         loop {
             let mut connection = self.pop_idle(endpoint.server, needs_proof)?;
-            if let Some(reason) = self.reason_against_use(&connection, endpoint) {
+            if let Some(reason) = self.unusable_reason(&connection, endpoint) {
                 connection.close(reason);
                 continue;
             }
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Why an idle connection cannot carry another request to `endpoint`, if it cannot.
-    fn reason_against_use(
+    /// Returns why an idle connection cannot carry another request to `endpoint`, or `None` if it can.
+    fn unusable_reason(
         &self,
         connection: &Connection<P>,
         endpoint: Endpoint,
@@ -107,34 +107,33 @@
 
     /// Takes the idle connection to `server` that is least likely to be closed.
     ///
-    /// Of the connections that are past their quiet period, the most recently used one is taken. A server may close a
-    /// connection right behind a response, or send the response once more, which is seen by then.
+    /// This is the most recently used one of those past their quiet period. A server that closes a connection right
+    /// after a response, or sends the response twice, is noticed during that period.
     fn pop_idle(&self, server: ServerId, needs_proof: bool) -> Option<Connection<P>> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
-        let fits = |connection: &Connection<P>| {
+        let is_eligible = |connection: &Connection<P>| {
             connection.is_past_quiet_period() && !(needs_proof && connection.is_sync_checked)
         };
-        let index = connections.iter().rposition(fits)?;
+        let index = connections.iter().rposition(is_eligible)?;
         Some(connections.remove(index))
     }
 
-    /// Waits for a permit to open one more socket. As long as there is none left, the connection that
-    /// has been idle longest is closed for it.
+    /// Waits for a permit to open a socket. While none is available, closes the longest idle connections one by one.
     ///
-    /// One is not always enough: after a reload that lowers the limit, what becomes free goes to
-    /// the limit first, and connections may become idle while this waits.
+    /// Closing one is not always enough: after a reload that lowers the limit, released permits are withdrawn first.
+    /// Also, further connections may become idle during the wait.
     async fn acquire_socket(&self) -> Option<SocketPermit> {
-        if let Ok(place) = self.sockets.servers.clone().try_acquire_owned() {
-            return Some(place);
+        if let Ok(permit) = self.sockets.servers.clone().try_acquire_owned() {
+            return Some(permit);
         }
         let mut acquiring = pin!(self.sockets.servers.clone().acquire_owned());
         loop {
             self.close_longest_idle();
             tokio::select! {
                 biased;
-                place = &mut acquiring => return place.ok(),
-                () = P::sleep(CLOSE_FOR_ROOM_INTERVAL) => {}
+                permit = &mut acquiring => return permit.ok(),
+                () = P::sleep(EVICTION_RETRY_INTERVAL) => {}
             }
         }
     }
@@ -150,7 +149,7 @@
         }
     }
 
-    /// What is known of the responses of a server.
+    /// Returns the response history of a server.
     fn response_history(&self, server: ServerId) -> Rc<ResponseHistory> {
         let mut histories = self.histories.borrow_mut();
         let max = self.live.max_servers();
@@ -165,25 +164,25 @@
         histories.entry(server).or_default().clone()
     }
 
-    /// Opens a connection to `endpoint`; none if that fails or takes too long.
+    /// Opens a connection to `endpoint`. Returns `None` on failure or after the connect timeout.
     pub(super) async fn connect(&self, endpoint: Endpoint) -> Option<Connection<P>> {
         let Endpoint { server, address } = endpoint;
-        let place = self.acquire_socket().await?;
+        let permit = self.acquire_socket().await?;
         let started = P::now();
         let limit = self.live.timeouts().connect;
         let socket = timeout::<P, _>(limit, P::connect(address)).await.ok()?.ok()?;
         let round_trip = P::elapsed_since(started);
         let history = self.response_history(server);
-        let longest_body = self.live.max_body_bytes();
+        let max_body_bytes = self.live.max_body_bytes();
         let observer =
-            ExchangeObserver::new(address, longest_body, history.clone(), self.status.clone());
+            ExchangeObserver::new(address, max_body_bytes, history.clone(), self.status.clone());
         let number = self.opened.get() + 1;
         self.opened.set(number);
-        Connection::start(number, socket, address, round_trip, observer, history, place).await
+        Connection::start(number, socket, address, round_trip, observer, history, permit).await
     }
 }
 
-/// Why an idle connection is not kept any longer, if it is not.
+/// Returns why an idle connection is not kept any longer, or `None` if it is kept.
 fn expiry_reason<P: Runtime>(
     connection: &Connection<P>,
     longest_idle: Duration,
--- a/src/sidecar/upstream/request.rs
+++ b/src/sidecar/upstream/request.rs
@@ -1,4 +1,4 @@
-//! What an attempt sends, and until when it may be sent and waited for.
+//! The request that an attempt sends, and the time limits of the attempt.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -19,40 +19,42 @@
 use crate::sidecar::invariants::SendFacts;
 use crate::sidecar::upload::{Upload, UploadAttempt};
 
-/// The header with the id of a request.
+/// The header that carries the id of a request.
 const CORRELATION_ID: &str = "x-correlation-id";
 
 /// The client of a request.
 pub trait RequestClient {
-    /// Whether the client has left, as its socket tells now: the event loop may not have told yet.
+    /// Returns whether the client has disconnected.
+    ///
+    /// Reads the present state of the socket, as the event loop may not have reported the disconnect yet.
     fn has_left(&self) -> bool;
 }
 
-/// A client's request in the form in which servers get it, kept for retries.
+/// A client's request as it is forwarded to servers, kept for retries.
 pub struct UpstreamRequest {
-    /// Whether it may be sent again once it may have been executed.
+    /// Whether the request may be sent again after a server may have executed it.
     pub retry_safety: RetrySafety,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// The path and query of the client's request, unchanged.
     pub target: hyper::Uri,
-    /// The headers that are forwarded.
+    /// The headers to forward.
     pub headers: HeaderMap,
-    /// The body, or as much of it as is buffered.
+    /// The body, or its buffered prefix if it is streamed.
     pub body: Bytes,
-    /// The body, if it is too long to be buffered.
+    /// The streamed body, or `None` if the body is buffered.
     pub upload: Option<Rc<Upload>>,
-    /// The memory reserved for the body.
+    /// Memory reserved for the body.
     pub reservation: Reservation,
-    /// The request has its final answer, or nobody waits for one: nothing more is sent for it.
+    /// Whether the request has its final response, or nobody waits for one any more. No further attempt is sent then.
     pub finished: Cell<bool>,
-    /// Who sent it; none for the sidecar's own requests.
+    /// The client that sent the request, or `None` for a request of the sidecar itself.
     pub client: Option<Rc<dyn RequestClient>>,
 }
 
 impl UpstreamRequest {
-    /// A message of the sidecar's own, without an id.
-    pub(super) fn own(path: &'static str) -> UpstreamRequest {
+    /// Creates a request of the sidecar itself: a `GET` without a correlation id.
+    pub(super) fn internal(path: &'static str) -> UpstreamRequest {
         UpstreamRequest {
             retry_safety: RetrySafety::Idempotent,
             method: Method::GET,
@@ -66,19 +68,19 @@
         }
     }
 
-    /// What identifies it in logs, here and at servers; empty if it has no such text.
+    /// Returns the id of the request in the logs of the sidecar and of servers; empty without a valid id.
     pub fn correlation_id(&self) -> &str {
         self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
-    /// Whether nobody waits for its response.
+    /// Returns whether nobody waits for the response any more.
     pub(super) fn is_unwanted(&self) -> bool {
         self.finished.get() || self.client.as_ref().is_some_and(|client| client.has_left())
     }
 
-    /// How long the client still waits at the time `now`, if the attempt is waited for until `deadline`.
+    /// Returns how long the client still waits at `now`, for an attempt that ends at `deadline`.
     ///
-    /// The time of a streamed body counts from its last byte.
+    /// With a streamed body, the client's timeout starts when the last byte of the body is received.
     pub(super) fn time_left(&self, now: Instant, deadline: Instant) -> Duration {
         match &self.upload {
             None => deadline.saturating_duration_since(now),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The length of the body in bytes, if it is known.
+    /// Returns the length of the body in bytes, or `None` if it is unknown.
     pub(super) fn content_length(&self) -> Option<u64> {
         match &self.upload {
             None => Some(self.body.len() as u64),
@@ -97,21 +99,23 @@
     }
 }
 
-/// Until when an attempt may be started, and how long it may take.
+/// The conditions under which an attempt may be sent, and its deadline.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// It is sent by then or not at all: after that, the request it repeats may be executed twice.
+    /// The latest time at which the attempt may be sent, or `None` if there is no limit.
+    ///
+    /// After that time servers may have forgotten an earlier attempt, and the request could be executed twice.
     pub start_by: Option<Instant>,
-    /// How long servers recognize repeats of what it sends, if they do.
+    /// How long servers deduplicate repeats of the request, or `None` if they do not.
     pub idempotency_window: Option<Duration>,
-    /// It is waited for until then.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// Whether its server accepts new requests, as far as is known; shared with the endpoint list.
+    /// Whether the server accepts new requests according to the endpoint list, which updates this cell.
     pub server_ready: Rc<Cell<bool>>,
 }
 
 impl AttemptLimits {
-    /// For what repeats nothing, and may be sent to any server.
+    /// Creates limits for a request that repeats no other and may be sent to a server in any state.
     pub(super) fn unlimited(deadline: Instant) -> AttemptLimits {
         AttemptLimits {
             start_by: None,
@@ -121,10 +125,10 @@
         }
     }
 
-    /// What [`may_send`](crate::sidecar::invariants::may_send) has to know of an attempt at `request`.
+    /// Returns the input of [`may_send`](crate::sidecar::invariants::may_send) for an attempt at `request`.
     ///
-    /// An attempt may wait for its connection, or for a socket to open one, longer than a server
-    /// that begins to drain may be sent anything new, or than servers remember what it repeats.
+    /// The conditions are evaluated at the time of sending: while the attempt waits for a connection, or for a
+    /// socket permit to open one, its server may start to drain or the idempotency window may end.
     pub(super) fn send_facts(&self, request: &UpstreamRequest, now: Instant) -> SendFacts {
         SendFacts {
             finished: request.is_unwanted(),
@@ -134,23 +138,23 @@
         }
     }
 
-    /// Notes that the request was sent in full at `sent_at` and is about to be sent once more.
-    pub(super) fn note_sent(&mut self, sent_at: Instant) {
+    /// Limits a resend to the idempotency window of the copy that was sent in full at `sent_at`.
+    pub(super) fn record_sent(&mut self, sent_at: Instant) {
         let end_of_window = self.idempotency_window.map(|window| sent_at + window);
         self.start_by = self.start_by.into_iter().chain(end_of_window).min();
     }
 }
 
-/// The body of one attempt.
+/// The request body of one attempt.
 pub(super) enum RequestBody<P> {
     /// A buffered body.
     Buffered(Bytes),
-    /// A body that is forwarded while it is received.
+    /// A body that is forwarded as it is received.
     Streamed(UploadAttempt, Rc<ExchangeObserver<P>>),
 }
 
 impl<P: Runtime> RequestBody<P> {
-    /// The body of one attempt at `request`, on the connection that `observer` watches.
+    /// Creates the body of an attempt at `request` on the connection that `observer` follows.
     pub(super) fn new(request: &UpstreamRequest, observer: &Rc<ExchangeObserver<P>>) -> Self {
         match &request.upload {
             None => RequestBody::Buffered(request.body.clone()),
@@ -177,7 +181,7 @@
             RequestBody::Streamed(upload, observer) => {
                 let piece = ready!(upload.poll_next(cx));
                 if piece.is_none() && upload.length().is_none() {
-                    // The last chunk is about to be written: the server may execute the request from now on.
+                    // hyper is about to write the last chunk, after which the server may execute the request.
                     observer.request_sent();
                 }
                 Poll::Ready(piece.map(|data| data.map(Frame::data)))
--- a/src/sidecar/upstream/response.rs
+++ b/src/sidecar/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of servers: their load reports, and their bodies, which are buffered or streamed.
+//! Reads the responses of servers: load reports, rejections and bodies, which are buffered or streamed.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -23,27 +23,27 @@
 };
 use crate::sidecar::framing::UNPROCESSED_HEADER;
 
-/// How long more of a streamed response is waited for after its first bytes, before they are
-/// forwarded. One that breaks off that early has failed while another server can still be asked.
-const EARLY_BREAK_WAIT: Duration = Duration::from_millis(10);
+/// How long the first bytes of a streamed response are held back before they are forwarded. If the response fails
+/// within this time, the request can still be sent to another server.
+const EARLY_FAILURE_WAIT: Duration = Duration::from_millis(10);
 
 /// The header with which a server reports its load.
 const LOAD_REPORT_HEADER: &str = "x-backend-load";
 
-/// The first part of a body.
+/// The first bytes of a body.
 struct Prefix {
     bytes: BytesMut,
-    /// Nothing follows.
+    /// Whether this is the whole body.
     complete: bool,
 }
 
-/// The rest of a response that is forwarded while it is received. Its connection is closed behind it.
+/// The rest of a response that is forwarded as it is received. Its connection is closed at the end.
 struct StreamedRest<P: Runtime> {
     body: MinRateBody<P>,
     connection: Option<Connection<P>>,
 }
 
-// Nothing in it is pinned in place.
+// No field is pinned structurally.
 impl<P: Runtime> Unpin for StreamedRest<P> {}
 
 impl<P: Runtime> Body for StreamedRest<P> {
@@ -72,41 +72,43 @@
     }
 }
 
-/// What the response to a request on a connection came to.
+/// The result of waiting for and reading a response.
 pub(super) enum Received<P: Runtime> {
-    /// It is taken for the request's, or there is none that could be.
+    /// The attempt ends with this result: the response answers the request, or there is none.
     Ended(AttemptResult),
-    /// It is a whole rejection that ends its connection: its server processes nothing more that it has received
-    /// there (RFC 9112, section 9.6).
+    /// A complete rejection with `Connection: close`. The server processes no further request received on the
+    /// connection (RFC 9112, section 9.6).
     FinalRejection(AttemptResult),
-    /// It may answer an earlier request on its connection.
+    /// The response may answer an earlier request on its connection.
     Unverified {
-        /// What it came to, if it answers this request.
+        /// The result of the attempt if the response answers its request.
         result: AttemptResult,
-        /// The connection, if nothing of the response is still to come.
+        /// The connection, or `None` if the rest of the response is still to be read from it.
         connection: Option<Box<Connection<P>>>,
-        /// What speaks against it; none if it has to be proven.
+        /// The sign of a desync, or `None` if a rejection needs proof that it answers this request.
         suspected: Option<SuspectedDesync>,
     },
 }
 
 impl<P: Runtime> Received<P> {
-    /// The end of an attempt without a response.
-    pub(super) fn nothing(outcome: Outcome) -> Received<P> {
+    /// Ends the attempt without a response.
+    pub(super) fn without_response(outcome: Outcome) -> Received<P> {
         Received::Ended(AttemptResult::without_response(outcome))
     }
 }
 
-/// A response that can be forwarded, and its connection, unless that is needed for the rest of the body.
+/// A response that can be forwarded. Its connection is `None` if the rest of the body is still read from it.
 struct Forwardable<P: Runtime> {
     response: UpstreamResponse,
     connection: Option<Connection<P>>,
-    accepted: Result<(), SuspectedDesync>,
+    sync_result: Result<(), SuspectedDesync>,
 }
 
 impl<P: Runtime> Upstream<P> {
-    /// Reads the response to an attempt at `server`. With `needs_proof`, a rejection counts as such only once
-    /// it is whole: before that it may have been begun by a server that goes on to execute the request.
+    /// Reads the response to an attempt at `server`.
+    ///
+    /// With `needs_proof`, a rejection counts only once it is complete, as a server may start to send one and still
+    /// execute the request.
     pub(super) async fn read_response(
         self: &Rc<Upstream<P>>,
         server: ServerId,
@@ -115,23 +117,23 @@
         needs_proof: bool,
     ) -> Received<P> {
         let unprocessed = is_unprocessed(&response);
-        let is_final = ends_connection(response.headers());
+        let closes_connection = has_connection_close(response.headers());
         let (head, body) = response.into_parts();
         let report = head.headers.get(LOAD_REPORT_HEADER).and_then(|value| value.to_str().ok());
         let report = report.map(|text| self.live.names().load_report(text)).unwrap_or_default();
         let end = |outcome| AttemptResult { report, ..AttemptResult::without_response(outcome) };
         if unprocessed && needs_proof {
-            if !is_whole(body).await {
+            if !read_to_end(body).await {
                 return Received::Ended(end(Outcome::ConnectionReset));
             }
-            if is_final {
+            if closes_connection {
                 return Received::FinalRejection(end(Outcome::Rejected));
             }
-            return self.prove_rejection(server, connection, end(Outcome::Rejected));
+            return self.verify_rejection(server, connection, end(Outcome::Rejected));
         }
         if head.status != StatusCode::OK {
             if connection.is_used() {
-                // This may be a copy, with the request's own response still to come.
+                // This may be a copy of an earlier response, and the response to this request may still follow.
                 connection.close(CloseReason::NotServed);
             } else {
                 self.discard_body(server, connection, body);
@@ -142,9 +144,9 @@
         let Some(read) = self.read_body(connection, head.headers, body).await else {
             return Received::Ended(end(Outcome::ConnectionReset));
         };
-        let Forwardable { response, connection, accepted } = read;
+        let Forwardable { response, connection, sync_result } = read;
         let result = AttemptResult { response: Some(response), ..end(Outcome::Success) };
-        if let Err(suspected) = accepted {
+        if let Err(suspected) = sync_result {
             let connection = connection.map(Box::new);
             return Received::Unverified { result, connection, suspected: Some(suspected) };
         }
@@ -154,8 +156,8 @@
         Received::Ended(result)
     }
 
-    /// A rejection that is whole. On a used connection it may be that of an earlier request.
-    fn prove_rejection(
+    /// Handles a complete rejection. On a used connection it may be the response to an earlier request.
+    fn verify_rejection(
         &self,
         server: ServerId,
         connection: Connection<P>,
@@ -169,14 +171,14 @@
         Received::Ended(result)
     }
 
-    /// Reads a body, or the first part of a streamed one; none if it cannot be forwarded in full.
+    /// Reads a body, or the prefix of a streamed one. Returns `None` if the body cannot be forwarded completely.
     async fn read_body(
         &self,
         mut connection: Connection<P>,
         headers: HeaderMap,
         mut body: Incoming,
     ) -> Option<Forwardable<P>> {
-        // Without a length, a response that breaks off looks complete.
+        // Without a length or chunked encoding, a truncated response looks complete.
         if !connection.observer.has_delimited_response() {
             return None;
         }
@@ -187,24 +189,24 @@
             tracing::warn!(bytes, "no memory left for a response body");
             return None;
         };
-        let first = read_prefix::<P>(&mut body, buffered_length).await.ok()?;
-        let fingerprint = first.complete.then(|| BodyFingerprint::new(&first.bytes));
-        let accepted = connection.accept_body(fingerprint);
+        let prefix = read_prefix::<P>(&mut body, buffered_length).await.ok()?;
+        let fingerprint = prefix.complete.then(|| BodyFingerprint::new(&prefix.bytes));
+        let sync_result = connection.check_body(fingerprint);
         let mut connection = Some(connection);
-        let rest: Option<BoxedBody> = if first.complete {
+        let rest: Option<BoxedBody> = if prefix.complete {
             None
         } else {
-            let longest_rest = self.live.max_body_bytes().saturating_sub(first.bytes.len());
-            let body = MinRateBody::from_server(body, longest_rest as u64);
+            let max_rest_bytes = self.live.max_body_bytes().saturating_sub(prefix.bytes.len());
+            let body = MinRateBody::from_server(body, max_rest_bytes as u64);
             let connection = connection.take();
             Some(Box::pin(StreamedRest { body, connection }))
         };
-        let body = first.bytes.freeze();
+        let body = prefix.bytes.freeze();
         let response = UpstreamResponse { headers, body, rest, reservation: Some(reservation) };
-        Some(Forwardable { response, connection, accepted })
+        Some(Forwardable { response, connection, sync_result })
     }
 
-    /// Reads the rest of a short response that is not forwarded, so that its connection can be used again.
+    /// Discards the rest of a short response in a task of its own, so that its connection can be reused.
     pub(super) fn discard_body(
         self: &Rc<Upstream<P>>,
         server: ServerId,
@@ -214,32 +216,32 @@
         let gap = self.live.timeouts().gap;
         let upstream = self.clone();
         P::spawn(async move {
-            if let Ok(true) = timeout::<P, _>(gap, is_whole(body)).await {
+            if let Ok(true) = timeout::<P, _>(gap, read_to_end(body)).await {
                 upstream.return_to_pool(server, connection);
             }
         });
     }
 }
 
-/// Reads the rest of a short response. Returns whether it came whole, with nothing in it that speaks of processing.
-async fn is_whole(body: Incoming) -> bool {
+/// Reads a short body to its end. Returns whether it arrived completely, with no trailer that contradicts a rejection.
+async fn read_to_end(body: Incoming) -> bool {
     let mut body = Limited::new(body, STREAM_WINDOW_BYTES);
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return false };
         if frame.trailers_ref().is_some_and(|t| t.contains_key(UNPROCESSED_HEADER)) {
-            // It may take back what the head has said.
+            // The trailer may contradict the header.
             return false;
         }
     }
     true
 }
 
-/// Reads a body of `buffered_length` in full, or the first bytes of a longer one, and more of those
-/// if they arrive soon.
+/// Reads a body of `buffered_length` bytes completely, or else the first bytes of a body and what follows them
+/// within [`EARLY_FAILURE_WAIT`].
 ///
 /// # Errors
 ///
-/// The body breaks off.
+/// Fails if the body ends early.
 async fn read_prefix<P: Runtime>(
     body: &mut Incoming,
     buffered_length: Option<u64>,
@@ -260,7 +262,7 @@
             },
         };
         if is_long {
-            wait_until = wait_until.or_else(|| Some(P::now() + EARLY_BREAK_WAIT));
+            wait_until = wait_until.or_else(|| Some(P::now() + EARLY_FAILURE_WAIT));
         }
         let Some(frame) = frame.transpose()? else {
             return Ok(Prefix { bytes, complete: true });
@@ -271,22 +273,22 @@
     }
 }
 
-/// Whether a server has rejected a request without processing it.
+/// Returns whether the server rejected the request without processing it.
 pub(super) fn is_unprocessed<B>(response: &Response<B>) -> bool {
     matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
-        && is_only_value(response.headers(), UNPROCESSED_HEADER, "1")
+        && has_single_value(response.headers(), UNPROCESSED_HEADER, "1")
 }
 
-/// Whether the server says that it sends nothing more on the connection.
-fn ends_connection(headers: &HeaderMap) -> bool {
+/// Returns whether the headers contain `Connection: close`.
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values
         .flat_map(|value| value.split(','))
         .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Whether a header is there once, with this value.
-fn is_only_value(headers: &HeaderMap, name: &str, expected: &str) -> bool {
+/// Returns whether a header occurs exactly once, with this value.
+fn has_single_value(headers: &HeaderMap, name: &str, expected: &str) -> bool {
     let mut values = headers.get_all(name).iter();
     values.next().is_some_and(|value| value == expected) && values.next().is_none()
 }
--- a/src/sidecar/upstream/send.rs
+++ b/src/sidecar/upstream/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request on a connection, whatever it is for.
+//! Sends a request on a connection, for attempts, health checks and sync checks alike.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -13,10 +13,11 @@
 use crate::settings::RetrySafety;
 use crate::sidecar::invariants;
 
-/// The header that tells a server how long the client still waits, in milliseconds.
+/// The header that tells the server how long the client still waits, in milliseconds.
 const TIME_LEFT_HEADER: &str = "x-time-left-ms";
 
-/// Sends `request` and waits for the head of its response; none if the connection breaks before.
+/// Sends `request` and returns the head of its response, or `None` if the connection fails or the request may no
+/// longer be sent.
 pub(super) async fn send_request<P: Runtime>(
     connection: &mut Connection<P>,
     request: &UpstreamRequest,
@@ -25,26 +26,26 @@
     let time_left = request.time_left(P::now(), limits.deadline);
     let observer = connection.observer.clone();
     let message = build_message(connection, request, time_left);
-    // An idempotent request need not wait for a test: if the connection is gone, it is sent once more.
-    let test_duration = match request.retry_safety {
-        RetrySafety::NonIdempotent => connection.test_duration(),
+    // Only a request that may not be repeated needs a stale check. Others are resent if the connection is closed.
+    let stale_check_duration = match request.retry_safety {
+        RetrySafety::NonIdempotent => connection.stale_check_duration(),
         _ => None,
     };
     observer.begin(request.content_length().unwrap_or(u64::MAX));
-    if test_duration.is_some() {
+    if stale_check_duration.is_some() {
         observer.hold_last_byte();
     }
     let mut response = pin!(connection.sender.send_request(message));
-    if let Some(test_duration) = test_duration {
-        if let Ok(response) = timeout::<P, _>(test_duration, &mut response).await {
+    if let Some(stale_check_duration) = stale_check_duration {
+        if let Ok(response) = timeout::<P, _>(stale_check_duration, &mut response).await {
             return response.ok();
         }
-        // The byte that was held back would have a request executed that was given up meanwhile, or
-        // at a server that wants none by now.
+        // The request may have been given up during the check, or its server may have started to drain. Releasing
+        // the last byte would have it executed all the same.
         if invariants::may_send(limits.send_facts(request, P::now())).is_err() {
             return None;
         }
-        observer.release();
+        observer.release_last_byte();
     }
     response.await.ok()
 }
--- a/src/sidecar/upstream/sync_check.rs
+++ b/src/sidecar/upstream/sync_check.rs
@@ -1,10 +1,10 @@
-//! Whether a connection is synchronized: whether the last response on it answers the last request.
+//! The sync check: whether the last response on a connection answers the last request.
 //!
-//! Responses come in the order of the requests. A message without an id, which servers answer with 404, is sent
-//! behind the response. If its answer comes next, nothing else was still to come: the response answers the last
-//! request. If another response comes next, some response has been delivered twice. The message is sent only
-//! where there is a sign of that or a rejection has to be proven, and once on a connection, so that its answer
-//! cannot be a copy of another.
+//! Responses arrive in the order of the requests. The check sends a probe, a request without an id, which servers
+//! answer with 404. If that is the next response, no other was outstanding, and the last response answers the last
+//! request. Any other response shows that the server has sent one twice. The check is made only after a sign of a
+//! desync or to verify a rejection, and at most once per connection, so that the response to the probe cannot be a
+//! copy of an earlier one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 use crate::api::ServerId;
 use crate::sidecar::sync_state::SyncState;
 
-/// The path of the message. No request of a client comes without an id.
-const MESSAGE_PATH: &str = "/health/sync";
-/// How long its answer is waited for. The client waits meanwhile, for an answer that may be a failure.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// The path of the probe. Requests of clients always have an id.
+const PROBE_PATH: &str = "/health/sync";
+/// How long to wait for the response to the probe. The client waits during this time, and its request may still fail.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl<P: Runtime> Upstream<P> {
-    /// Whether the last response on `connection` to `server` answers the last request. If so, the connection is
-    /// kept for the next one.
+    /// Checks whether the last response on `connection` to `server` answers the last request. If so, the connection
+    /// is returned to the pool.
     ///
-    /// The server must still accept requests: a message is new to it as well.
+    /// The result is unknown if the server no longer accepts requests, as the probe is a new request to it too.
     pub(super) async fn check_sync(
         self: &Rc<Upstream<P>>,
         server: ServerId,
@@ -43,16 +43,16 @@
             return SyncState::Unknown;
         }
         connection.is_sync_checked = true;
-        let message = UpstreamRequest::own(MESSAGE_PATH);
+        let probe = UpstreamRequest::internal(PROBE_PATH);
         let limits = AttemptLimits::unlimited(limits.deadline);
         let exchange = async {
             connection.sender.ready().await.ok()?;
-            send_request(&mut connection, &message, &limits).await
+            send_request(&mut connection, &probe, &limits).await
         };
-        let answer = timeout::<P, _>(ANSWER_TIMEOUT, exchange).await.ok().flatten();
-        match answer {
-            Some(answer) if answer.status() == StatusCode::NOT_FOUND && observer.is_clean() => {
-                self.discard_body(server, connection, answer.into_body());
+        let response = timeout::<P, _>(PROBE_TIMEOUT, exchange).await.ok().flatten();
+        match response {
+            Some(response) if response.status() == StatusCode::NOT_FOUND && observer.is_clean() => {
+                self.discard_body(server, connection, response.into_body());
                 SyncState::InSync
             }
             Some(_) => {
