--- a/src/sidecar/driver/actions.rs
+++ b/src/sidecar/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's actions.
+//! Executes the balancer's actions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -40,11 +40,11 @@
                     datagrams.send(peer, &data);
                 }
             }
-            Action::Log { text } => tracing::info!(text, "message of the balancer"),
+            Action::Log { text } => tracing::info!(text, "balancer message"),
         }
     }
 
-    /// Cancels an attempt. It ends as cancelled, or with the result that it has just come to.
+    /// Cancels an attempt. It ends with `Outcome::Cancelled`, or with its own result if that is available already.
     fn cancel_attempt(&self, id: RequestId, attempt: usize) {
         let mut state = self.state.borrow_mut();
         let request = state.requests.get_mut(&id);
--- a/src/sidecar/driver/attempts.rs
+++ b/src/sidecar/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: starting them, waiting for them, and reporting their results.
+//! Attempts in flight: starts them, waits for them and reports their results.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,24 +15,25 @@
 use crate::sidecar::upload::Upload;
 use crate::sidecar::upstream::{AttemptLimits, AttemptResult, Endpoint, UpstreamRequest};
 
-/// Which attempt it is.
+/// Identifies an attempt.
 #[derive(Clone, Copy)]
 struct AttemptId {
     request: RequestId,
-    /// Its place among the request's attempts.
+    /// The index of the attempt within the request.
     index: usize,
     server: ServerId,
 }
 
-/// What is needed to send an attempt.
+/// The data needed to send an attempt.
 struct Dispatch {
     endpoint: Endpoint,
     request: Rc<UpstreamRequest>,
     limits: AttemptLimits,
+    /// Completes when the attempt is cancelled.
     cancelled: oneshot::Receiver<()>,
 }
 
-/// The rule that a further attempt of a request would break, by what the driver itself knows.
+/// Returns the rule that a further attempt of a request would violate, judged by the driver's own state.
 fn violation_of(request: &InFlightRequest, server: Option<&KnownServer>) -> Option<Violation> {
     if request.is_finished() {
         return Some(Violation::AttemptAfterEnd);
@@ -44,7 +45,7 @@
 }
 
 impl<P: Runtime> Driver<P> {
-    /// Starts an attempt that is waited for during `timeout`.
+    /// Starts an attempt that times out after `timeout`.
     pub(super) fn start_attempt(
         self: &Rc<Driver<P>>,
         request: RequestId,
@@ -64,8 +65,8 @@
         P::spawn(self.clone().run_attempt(id, dispatch));
     }
 
-    /// Counts and logs that an attempt follows another one. The log has it at the default level where a
-    /// server may have executed the request, or has said that it has not.
+    /// Counts a retry, and logs it if repeating the request requires proof that it was not executed and some earlier
+    /// attempt reached a server.
     fn log_retry(&self, id: AttemptId) {
         let state = self.state.borrow();
         let Some(request) = state.requests.get(&id.request) else { return };
@@ -89,7 +90,7 @@
         );
     }
 
-    /// Adds an attempt to its request: its place there, and what it sends, if it can still be sent.
+    /// Adds an attempt to its request. Returns its index, and the data to send it, or `None` if it cannot be sent.
     fn register_attempt(
         &self,
         id: RequestId,
@@ -104,7 +105,7 @@
         let (cancel, cancelled) = oneshot::channel();
         let started = P::now();
         let idempotency_window = self.idempotency_windows[request.class];
-        // An attempt may wait for its connection while servers forget the request that it repeats.
+        // While the attempt waits for its connection, servers may forget the request that it repeats.
         let start_by = idempotency_window.and_then(|window| request.retry_by(window));
         let index = request.attempts.len();
         let known = endpoints.get(server);
@@ -135,7 +136,7 @@
         (index, dispatch)
     }
 
-    /// Reports that an attempt was not sent, after the present event has been handled.
+    /// Reports that an attempt was not sent. This is done in a task, after the current event has been handled.
     fn report_not_sent(self: &Rc<Driver<P>>, id: AttemptId) {
         let driver = self.clone();
         P::spawn(async move {
@@ -153,12 +154,12 @@
             attempt = id.index,
             address = %endpoint.address,
             limit_ms = deadline.saturating_duration_since(started).as_millis() as u64,
-            "attempt begins"
+            "attempt started"
         );
         let result = tokio::select! {
             biased;
             result = self.upstream.attempt(id.index, endpoint, &request, limits) => result,
-            // By the balancer, or because nobody waits for its response any more.
+            // Cancelled by the balancer, or because nobody waits for the response any more.
             _ = cancelled => AttemptResult::without_response(Outcome::Cancelled),
             () = self.attempt_timeout(id, upload.as_deref(), deadline) => {
                 AttemptResult::without_response(Outcome::TimedOut)
@@ -180,10 +181,10 @@
         self.complete_attempt(id, P::elapsed_since(since).as_micros() as Micros, result);
     }
 
-    /// Ends when an attempt has taken too long.
+    /// Completes when an attempt has timed out.
     ///
-    /// The time of a streamed body counts from its last byte. Once part of it has left, the balancer is
-    /// told: nothing can be sent to another server.
+    /// With a streamed body, the timeout starts at the last byte of the body. The balancer is told as soon as the body
+    /// can no longer be replayed, as the request cannot be sent to another server from then on.
     async fn attempt_timeout(
         self: &Rc<Driver<P>>,
         id: AttemptId,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Reports the result of an attempt. The first response served goes to the client.
+    /// Reports the result of an attempt to the balancer. The first successful response goes to the client.
     fn complete_attempt(
         self: &Rc<Driver<P>>,
         id: AttemptId,
@@ -234,11 +235,11 @@
                 request.release_message();
             }
         }
-        let broke = matches!(
+        let failed = matches!(
             outcome,
             Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::TimedOut
         );
-        if broke && retryable && !finished {
+        if failed && retryable && !finished {
             self.record(GossipEvent::RetryableFailure);
         }
         let AttemptId { request, index, server } = id;
--- a/src/sidecar/driver/endpoint_changes.rs
+++ b/src/sidecar/driver/endpoint_changes.rs
@@ -1,13 +1,13 @@
-//! What a list of servers changed, as the log tells it.
+//! Changes made by an endpoint list, for the log.
 
 use std::net::SocketAddr;
 
 use crate::api::{Health, ListKind};
 
-/// The most servers of one kind that are named in a line of the log.
-const MAX_NAMED: usize = 16;
+/// The maximum number of addresses per kind of change in a log line.
+const MAX_LOGGED_ADDRESSES: usize = 16;
 
-/// Servers to which the same happened: how many, and the addresses of the first.
+/// Servers with the same kind of change: their number, and the addresses of the first [`MAX_LOGGED_ADDRESSES`].
 #[derive(Debug, Default)]
 pub(super) struct ChangedServers {
     count: usize,
@@ -17,13 +17,13 @@
 impl ChangedServers {
     fn push(&mut self, address: SocketAddr) {
         self.count += 1;
-        if self.addresses.len() < MAX_NAMED {
+        if self.addresses.len() < MAX_LOGGED_ADDRESSES {
             self.addresses.push(address);
         }
     }
 }
 
-/// The changes that one list made.
+/// The changes made by one list.
 #[derive(Debug, Default)]
 pub(super) struct EndpointChanges {
     added: ChangedServers,
@@ -33,7 +33,7 @@
 }
 
 impl EndpointChanges {
-    /// Notes a listed server, and what its health was before, if it was listed.
+    /// Records a listed server. `before` is its previous health, or `None` if it was not listed.
     pub(super) fn record_listed(
         &mut self,
         address: SocketAddr,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Notes a server that is not listed any more.
+    /// Records a server that is no longer listed.
     pub(super) fn record_removed(&mut self, address: SocketAddr) {
         self.removed.push(address);
     }
 
-    /// Logs the changes, if there are any.
+    /// Logs the changes, if any.
     pub(super) fn log(&self, kind: ListKind, version: u64, listed: usize) {
         let EndpointChanges { added, draining, ready, removed } = self;
         if added.count + draining.count + ready.count + removed.count == 0 {
--- a/src/sidecar/driver/endpoints.rs
+++ b/src/sidecar/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the servers that discovery lists, and those that operators have drained.
+//! The endpoint table: the servers listed by discovery, and those drained by operators.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,48 +12,49 @@
 use crate::api::{Event, Health, ListKind, ServerEntry, ServerId};
 use crate::sidecar::config::{Endpoint, EndpointList, ProtocolNames};
 
-/// A server as discovery lists it.
+/// A server listed by discovery.
 pub(super) struct KnownServer {
     pub(super) address: SocketAddr,
     entry: ServerEntry,
-    /// Whether it accepts new requests at this address, as the balancer is told; shared with attempts
-    /// in flight.
+    /// Whether the server accepts new requests at this address, as reported to the balancer. Shared with attempts in
+    /// flight.
     pub(super) ready: Rc<Cell<bool>>,
 }
 
-/// How many servers there are.
+/// Numbers of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Listed by discovery.
+    /// Number of servers listed by discovery.
     pub listed: usize,
-    /// Of these, drained by operators or ejected as outliers.
+    /// Number of listed servers that are drained by operators or ejected as outliers.
     pub ejected: usize,
 }
 
-/// The servers that are listed.
+/// The listed servers, and operators' drains.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     servers: FxHashMap<ServerId, KnownServer>,
-    /// Servers that operators have drained, whatever discovery says.
+    /// Servers drained by operators, independently of discovery.
     drained_by_operator: FxHashSet<ServerId>,
     /// Whether any server was ever listed.
     ever_listed: bool,
-    /// How many servers of the last list were ignored.
+    /// Number of servers of the last list that were ignored for lack of room.
     ignored: usize,
 }
 
 impl EndpointTable {
-    /// The server, if it is listed.
+    /// Returns the server, if it is listed.
     pub(super) fn get(&self, server: ServerId) -> Option<&KnownServer> {
         self.servers.get(&server)
     }
 
-    /// The address of the server, if it is listed.
+    /// Returns the address of the server, if it is listed.
     pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers.get(&server).map(|known| known.address)
     }
 
-    /// The server as the balancer is to know it. Attempts in flight are told of its readiness.
+    /// Returns the entry to report to the balancer, with operators' drains applied. Updates the readiness seen by
+    /// attempts in flight.
     fn effective_entry(&self, mut entry: ServerEntry) -> ServerEntry {
         if entry.health == Health::Ready && self.drained_by_operator.contains(&entry.id) {
             entry.health = Health::Draining;
@@ -64,9 +65,10 @@
         entry
     }
 
-    /// Takes a list in: at most `max_servers` of it, those first that are known already, then those that
-    /// accept new requests. Returns the servers that were ignored, and calls `close_idle` for those whose
-    /// idle connections are not to be used any more.
+    /// Applies a list, up to a total of `max_servers` servers: known ones first, then those that accept new requests.
+    ///
+    /// Returns the ignored servers and the changes. Calls `close_idle` for each server whose idle connections must not
+    /// be used any more.
     fn apply<S: AsRef<str>>(
         &mut self,
         kind: ListKind,
@@ -79,7 +81,7 @@
             ListKind::Delta => FxHashMap::default(),
             _ => std::mem::take(&mut self.servers),
         };
-        // Without room so far: what the list removes makes room.
+        // Servers without room so far. Later entries of the list may remove others and make room.
         let mut deferred: Vec<(ServerId, &Endpoint<S>)> = Vec::new();
         let mut changes = EndpointChanges::default();
         for endpoint in &list.endpoints {
@@ -113,7 +115,7 @@
         (ignored, changes)
     }
 
-    /// Adds servers as long as there is room, and returns the others.
+    /// Adds servers as long as there is room. Returns those that were ignored.
     fn insert_deferred<S: AsRef<str>>(
         &mut self,
         deferred: Vec<(ServerId, &Endpoint<S>)>,
@@ -122,25 +124,25 @@
         changes: &mut EndpointChanges,
     ) -> FxHashSet<ServerId> {
         let mut ignored = FxHashSet::default();
-        let mut none_before = FxHashMap::default();
+        let mut no_previous = FxHashMap::default();
         let (active, others): (Vec<_>, Vec<_>) =
             deferred.into_iter().partition(|(_, endpoint)| endpoint.is_active());
         for (server, endpoint) in active.into_iter().chain(others) {
             let Some(address) = endpoint.address else { continue };
-            if self.has_no_room(&none_before, server, max_servers) {
+            if self.has_no_room(&no_previous, server, max_servers) {
                 ignored.insert(server);
                 continue;
             }
             let entry = names.server_entry(endpoint);
-            self.insert(address, entry, &mut none_before, changes);
+            self.insert(address, entry, &mut no_previous, changes);
         }
         ignored
     }
 
-    /// Whether a server that is not known yet would be one too many.
+    /// Returns whether `server` is unknown and would exceed `max_servers`.
     ///
-    /// A known one has to stay known for as long as it is used, so it goes first; what exceeds the bound
-    /// was never used.
+    /// A known server always has room, as it must stay known while it is used. Servers beyond the limit have never been
+    /// used.
     fn has_no_room(
         &self,
         previous: &FxHashMap<ServerId, KnownServer>,
@@ -152,7 +154,7 @@
             && !previous.contains_key(&server)
     }
 
-    /// Adds or replaces a server; its address before, if it was known.
+    /// Adds or replaces a server. Returns its previous address, if it was known.
     fn insert(
         &mut self,
         address: SocketAddr,
@@ -163,8 +165,8 @@
         let server = entry.id;
         let old = self.servers.remove(&server).or_else(|| previous.remove(&server));
         changes.record_listed(address, old.as_ref().map(|old| old.entry.health), entry.health);
-        // Attempts that wait for a connection to an earlier address must not be sent there: by now
-        // it may be another server's.
+        // Attempts that wait for a connection to a previous address must not be sent there, as it may belong to
+        // another server by now.
         let ready = match &old {
             Some(old) if old.address == address => old.ready.clone(),
             Some(old) => {
@@ -177,7 +179,7 @@
         old.map(|old| old.address)
     }
 
-    /// Removes a server; its address before, if it was known.
+    /// Removes a server. Returns its previous address, if it was known.
     fn remove(&mut self, server: ServerId, changes: &mut EndpointChanges) -> Option<SocketAddr> {
         let old = self.servers.remove(&server)?;
         old.ready.set(false);
@@ -185,8 +187,8 @@
         Some(old.address)
     }
 
-    /// Replaces the servers that operators have drained; the listed ones that this changes, as the
-    /// balancer is to know them.
+    /// Replaces the set of servers drained by operators. Returns the entries to report to the balancer for the listed
+    /// servers that this affects.
     fn set_drained_by_operator(&mut self, drained: FxHashSet<ServerId>) -> Vec<ServerEntry> {
         let before = std::mem::replace(&mut self.drained_by_operator, drained);
         let changed = before.symmetric_difference(&self.drained_by_operator);
@@ -196,10 +198,10 @@
 }
 
 impl<P: Runtime> Driver<P> {
-    /// Takes in a list of servers.
+    /// Applies an endpoint list and reports it to the balancer.
     ///
-    /// New servers may keep coming. Addresses are kept only of those that are listed, and idle
-    /// connections to one that is to get nothing more are closed at once.
+    /// Addresses are kept only for listed servers, as new servers may keep appearing. Idle connections to a server that
+    /// gets no further requests are closed at once.
     pub fn update_endpoints<S: AsRef<str>>(
         self: &Rc<Driver<P>>,
         kind: ListKind,
@@ -231,10 +233,10 @@
         self.handle_event(Event::EndpointUpdate { kind, entries: &entries });
     }
 
-    /// Drains these servers and puts all others back, as discovery lists them.
+    /// Sets the servers drained by operators. All others are restored to the state that discovery lists.
     ///
-    /// To the balancer such a server is draining, so the rule on draining servers holds for it, and the
-    /// idle connections to it are closed.
+    /// A drained server is reported to the balancer as draining, so the rules for draining servers apply, and idle
+    /// connections to it are closed.
     pub fn set_drained_by_operator(self: &Rc<Driver<P>>, drained: impl Iterator<Item = ServerId>) {
         let drained = drained.collect();
         let entries = self.state.borrow_mut().endpoints.set_drained_by_operator(drained);
@@ -246,12 +248,12 @@
         }
     }
 
-    /// Whether discovery lists this server.
+    /// Returns whether discovery lists this server.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.state.borrow().endpoints.servers.contains_key(&server)
     }
 
-    /// How many servers are listed, and how many of them get no requests.
+    /// Returns the number of listed servers, and of those among them that get no requests.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.state.borrow();
         let servers = &state.endpoints.servers;
@@ -262,7 +264,7 @@
         EndpointCounts { listed: servers.len(), ejected: ejected.count() }
     }
 
-    /// Whether any server was ever listed.
+    /// Returns whether any server was ever listed.
     pub fn has_endpoints(&self) -> bool {
         self.state.borrow().endpoints.ever_listed
     }
--- a/src/sidecar/driver/in_flight.rs
+++ b/src/sidecar/driver/in_flight.rs
@@ -1,4 +1,4 @@
-//! What is known of requests in flight and of their attempts.
+//! State of requests in flight and of their attempts.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,21 +10,21 @@
 use crate::sidecar::status::Status;
 use crate::sidecar::upstream::{ConnectionUse, UpstreamRequest, UpstreamResponse};
 
-/// How a request ended.
+/// The outcome of a request.
 pub enum RequestOutcome {
-    /// With a server's response.
+    /// A server's response.
     Served(UpstreamResponse),
-    /// It was not executed: the client may send it again.
+    /// The request was not executed, or may be repeated safely. The client may send it again.
     Rejected {
-        /// How long the client is asked to wait before that, if it is.
+        /// How long the client is asked to wait before it does, or `None` if it is not asked.
         retry_after: Option<Duration>,
     },
-    /// It may have been executed.
+    /// The request failed, and may have been executed.
     Failed,
 }
 
 impl RequestOutcome {
-    /// Its name in the log.
+    /// Returns the name used in logs.
     pub fn name(&self) -> &'static str {
         match self {
             RequestOutcome::Served(_) => "served",
@@ -36,36 +36,36 @@
 
 /// An attempt of a request in flight.
 pub(super) struct InFlightAttempt {
-    /// Cancels it; none once it has ended or is cancelled.
+    /// Cancels the attempt. `None` once it has ended or is cancelled.
     pub(super) cancel: Option<oneshot::Sender<()>>,
     pub(super) started: Instant,
-    /// It may have been executed, as far as is known.
+    /// Whether the attempt may have been executed. True until its result proves the contrary.
     pub(super) may_have_run: bool,
-    /// How it ended; none before.
+    /// The outcome, or `None` while the attempt is in progress.
     pub(super) outcome: Option<Outcome>,
-    /// The connection that it was made on, if it has ended with one.
+    /// The connection of the attempt, or `None` before it ended or if it had none.
     pub(super) connection_use: Option<ConnectionUse>,
 }
 
 impl InFlightAttempt {
-    /// Whether it ended before its last byte was written.
+    /// Returns whether the attempt ended before the last byte of the request was written.
     pub(super) fn was_not_sent(&self) -> bool {
         matches!(self.outcome, Some(Outcome::NotSent | Outcome::ConnectFailed))
     }
 }
 
-/// A request that the driver has taken.
+/// A request in flight.
 pub(super) struct InFlightRequest {
     pub(super) class: usize,
-    /// Gets the outcome; none once the request has one, or the client has gone.
+    /// Receives the outcome. `None` once the request has one or the client has disconnected.
     client: Option<oneshot::Sender<RequestOutcome>>,
-    /// What attempts send; none once no further attempt can be made.
+    /// The request to send. `None` once no further attempt can be made.
     message: Option<Rc<UpstreamRequest>>,
     pub(super) attempts: Vec<InFlightAttempt>,
 }
 
 impl InFlightRequest {
-    /// A request without attempts, whose outcome `client` gets.
+    /// Creates a request without attempts. `client` receives the outcome.
     pub(super) fn new(
         class: usize,
         client: oneshot::Sender<RequestOutcome>,
@@ -79,22 +79,22 @@
         }
     }
 
-    /// Notes that the client has gone.
+    /// Records that the client has disconnected.
     pub(super) fn drop_client(&mut self) {
         self.client = None;
     }
 
-    /// What identifies it in logs, while an attempt can still be made.
+    /// Returns the id of the request in logs, or `None` once no further attempt can be made.
     pub(super) fn correlation_id(&self) -> Option<&str> {
         self.message.as_ref().map(|message| message.correlation_id())
     }
 
-    /// Whether nobody waits for an outcome any more.
+    /// Returns whether nobody waits for the outcome any more.
     pub(super) fn is_finished(&self) -> bool {
         self.client.is_none()
     }
 
-    /// Sends the outcome to the client and counts it, if the request is not finished.
+    /// Sends the outcome to the client and counts it, unless the request is finished already.
     pub(super) fn finish(&mut self, outcome: RequestOutcome, status: &Status) {
         if let Some(client) = self.client.take() {
             status.count_request(self.class, |counts| match &outcome {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What another attempt sends, if one can still be sent.
+    /// Returns the request for another attempt, or `None` if none can be sent any more.
     pub(super) fn message(&self) -> Option<Rc<UpstreamRequest>> {
         let is_kept = |message: &Rc<UpstreamRequest>| {
             message.upload.as_ref().is_none_or(|upload| upload.is_replayable())
@@ -114,32 +114,32 @@
         self.message.clone().filter(|message| !self.is_finished() && is_kept(message))
     }
 
-    /// Whether it may be sent more than once; none once no further attempt can be made.
+    /// Returns whether the request may be sent again, or `None` once no further attempt can be made.
     pub(super) fn retry_safety(&self) -> Option<RetrySafety> {
         self.message.as_ref().map(|message| message.retry_safety)
     }
 
-    /// Whether that it was not executed has to be proven before it is sent again or rejected.
+    /// Returns whether repeating or rejecting the request requires proof that it was not executed.
     pub(super) fn needs_proof(&self) -> bool {
         self.retry_safety().is_some_and(|safety| safety != RetrySafety::Idempotent)
     }
 
-    /// Whether any of its attempts may have been executed.
+    /// Returns whether any attempt may have been executed.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run_before(self.attempts.len())
     }
 
-    /// Whether any of its first `count` attempts may have been executed.
+    /// Returns whether any of the first `count` attempts may have been executed.
     pub(super) fn may_have_run_before(&self, count: usize) -> bool {
         self.attempts.iter().take(count).any(|attempt| attempt.may_have_run)
     }
 
-    /// Whether the request may be sent again after it may have been executed.
+    /// Returns whether the request may be sent again even if it may have been executed.
     pub(super) fn is_retryable(&self) -> bool {
         self.retry_safety().is_some_and(|safety| safety != RetrySafety::NonIdempotent)
     }
 
-    /// Frees what attempts send: no further one is made, and none that waits for a connection is sent.
+    /// Releases the request. No further attempt is made, and one that still waits for a connection is not sent.
     pub(super) fn release_message(&mut self) -> Option<Rc<UpstreamRequest>> {
         let message = self.message.take();
         if let Some(message) = &message {
@@ -148,20 +148,21 @@
         message
     }
 
-    /// By when another attempt may start, if servers recognize repeats for `window`.
+    /// Returns the latest time at which another attempt may be sent if servers deduplicate repeats for `window`, or
+    /// `None` if no attempt may have been executed.
     pub(super) fn retry_by(&self, window: Duration) -> Option<Instant> {
         let may_have_run = self.attempts.iter().filter(|attempt| attempt.may_have_run);
         may_have_run.map(|attempt| attempt.started + window).min()
     }
 
-    /// Cancels all attempts.
+    /// Cancels all attempts in progress.
     pub(super) fn cancel_attempts(&mut self) {
         for cancel in self.attempts.iter_mut().filter_map(|attempt| attempt.cancel.take()) {
             let _ = cancel.send(());
         }
     }
 
-    /// Whether it is finished, and so are its attempts.
+    /// Returns whether the request and all of its attempts have ended.
     pub(super) fn is_done(&self) -> bool {
         self.is_finished() && self.attempts.iter().all(|attempt| attempt.cancel.is_none())
     }
--- a/src/sidecar/driver/mod.rs
+++ b/src/sidecar/driver/mod.rs
@@ -1,7 +1,6 @@
-//! Connects the balancer with the sockets: what happens there goes in as events, and every action
-//! that comes out is carried out here, in order.
+//! Connects the balancer with I/O: passes events to the balancer and executes its actions in order.
 //!
-//! Nothing else in the sidecar decides about servers, retries or rejections.
+//! All decisions about servers, retries and rejections are made by the balancer.
 
 mod actions;
 mod attempts;
@@ -36,15 +35,15 @@
 pub use in_flight::RequestOutcome;
 pub use requests::{RequestHandle, RequestInfo};
 
-/// The connections to other sidecars, if there are any.
+/// Communication with other sidecars, if it is configured.
 pub struct PeerServices<P: Runtime> {
-    /// Sends and receives datagrams.
+    /// The datagram transport, or `None` without peers.
     pub datagrams: Option<Rc<Peers<P>>>,
-    /// What the sidecars know together.
+    /// Gossip with the other sidecars, or `None` if this sidecar takes no part.
     pub gossip: Option<Rc<Membership<P>>>,
 }
 
-/// What events change.
+/// The mutable state of the driver.
 struct State {
     balancer: Balancer,
     requests: FxHashMap<RequestId, InFlightRequest>,
@@ -52,9 +51,9 @@
     endpoints: EndpointTable,
 }
 
-/// The balancer's clock, which never steps back.
+/// The balancer's clock: Unix time at the start, advanced by a monotonic clock so that it never steps back.
 ///
-/// It is Unix time, as discovery gives the start of a server's process in that.
+/// Discovery gives the start time of a server's process in Unix time, so the balancer uses the same time scale.
 struct BalancerClock {
     started_at: Micros,
     start: Instant,
@@ -70,7 +69,7 @@
     }
 }
 
-/// Owns the balancer and carries out its actions.
+/// Owns the balancer and executes its actions.
 pub struct Driver<P: Runtime> {
     state: RefCell<State>,
     timers: Timers<P>,
@@ -81,14 +80,14 @@
     discovery: mpsc::UnboundedSender<DiscoveryRequest>,
     peer_services: PeerServices<P>,
     health_check: HealthCheckKind,
-    /// How long servers recognize repeats of a class's requests with idempotency keys, by class.
+    /// By class, how long servers deduplicate requests with idempotency keys; `None` for a class without them.
     idempotency_windows: Vec<Option<Duration>>,
-    /// Whether every server recognizes repeats of a class's requests, by class.
+    /// By class, whether every server recognizes the repeat of a request that another server got.
     deduplicated_everywhere: Vec<bool>,
 }
 
 impl<P: Runtime> Driver<P> {
-    /// A driver without requests or servers.
+    /// Creates a driver without requests or servers.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -131,7 +130,7 @@
         })
     }
 
-    /// Passes the balancer's timers on as they expire; never ends.
+    /// Passes expired timers to the balancer. Never returns.
     pub async fn run_timers(self: Rc<Driver<P>>) {
         loop {
             let token = self.timers.next_expired().await;
@@ -139,8 +138,7 @@
         }
     }
 
-    /// Puts settings in force that differ only in what can change while running, and the tenants' quotas
-    /// in them.
+    /// Applies new settings, which may differ only in those that can change at run time, and the tenants' quotas.
     pub fn reconfigure(&self, settings: Settings, quotas: gossip::TenantQuotas) {
         if let Some(gossip) = &self.peer_services.gossip {
             gossip.reconfigure(quotas);
@@ -148,13 +146,13 @@
         self.state.borrow_mut().balancer.reconfigure(settings);
     }
 
-    /// Asks discovery for the complete list.
+    /// Asks discovery for the complete endpoint list.
     pub fn fetch_list(&self) {
         // Discovery runs as long as the driver does.
         let _ = self.discovery.send(DiscoveryRequest::Fetch);
     }
 
-    /// What the sidecars know together, if this one takes part.
+    /// Returns the gossip membership, or `None` if this sidecar takes no part in gossip.
     pub fn gossip(&self) -> Option<&Membership<P>> {
         self.peer_services.gossip.as_deref()
     }
@@ -168,7 +166,7 @@
         }
     }
 
-    /// Counts what happened, for the other sidecars.
+    /// Records an event in the counts that are gossiped to the other sidecars.
     fn record(&self, event: GossipEvent) {
         if let Some(gossip) = &self.peer_services.gossip {
             gossip.record(event);
--- a/src/sidecar/driver/requests.rs
+++ b/src/sidecar/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: from a client's request to its final answer.
+//! Requests in flight: from submission to the final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::sidecar::invariants::{Violation, may_reject};
 use crate::sidecar::upstream::UpstreamRequest;
 
-/// A final answer should be on its way this long before the client stops waiting.
+/// The final response is due this long before the client stops waiting, to leave time for its way back.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(5);
-/// The log's message of a request that no server's response ends.
+/// Log message for a request that ends without a server's response.
 const END_MESSAGE: &str = "request ends without a server's response";
 
-/// A request that was submitted. Dropping it before its outcome tells that the client has gone.
+/// A submitted request. Dropping the handle before the outcome cancels the request, as its client has disconnected.
 pub struct RequestHandle<P: Runtime> {
     id: RequestId,
     driver: Rc<Driver<P>>,
@@ -25,7 +25,7 @@
 }
 
 impl<P: Runtime> RequestHandle<P> {
-    /// How many attempts were made so far; 0 once the request is forgotten.
+    /// Returns the number of attempts made so far, or 0 once the request has been removed.
     pub fn attempt_count(&self) -> usize {
         let state = self.driver.state.borrow();
         state.requests.get(&self.id).map_or(0, |request| request.attempts.len())
@@ -43,24 +43,26 @@
     }
 }
 
-/// What a client's request says about itself.
+/// Properties of a client's request.
 pub struct RequestInfo {
-    /// The index of its class in the settings.
+    /// The index of the class in the settings.
     pub class: usize,
-    /// The index of its tenant in the settings.
+    /// The index of the tenant in the settings.
     pub tenant: usize,
-    /// Its affinity key; 0 without one.
+    /// The affinity key, or 0 without one.
     pub affinity_key: u64,
-    /// How long the client will wait.
+    /// How long the client waits for the response.
     pub time_left: Duration,
-    /// The client's estimate of the work.
+    /// The client's estimate of the work, or `None` without one.
     pub work_hint: Option<Micros>,
-    /// The client sends it again.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
 }
 
-/// Logs that a request ends without a server's response; at the default level if its servers may have
-/// executed it, or have said that they have not, and it must not simply be repeated.
+/// Logs that a request ends without a server's response.
+///
+/// The level is `info` if repeating the request requires proof that it was not executed and some attempt reached a
+/// server, otherwise `debug`.
 fn log_end(request: &InFlightRequest, outcome: &RequestOutcome, reason: EndReason) {
     let id = request.correlation_id();
     let (answer, reason, attempts) = (outcome.name(), reason.name(), request.attempts.len());
@@ -75,7 +77,7 @@
 }
 
 impl<P: Runtime> Driver<P> {
-    /// Takes a client's request.
+    /// Submits a client's request to the balancer.
     pub fn submit(
         self: &Rc<Driver<P>>,
         info: RequestInfo,
@@ -116,21 +118,21 @@
         id
     }
 
-    /// How long a request of a class may take if its client waits for `time_left`.
+    /// Returns how long a request of a class may take if its client waits for `time_left`.
     ///
-    /// A client can claim to wait for weeks, and its request would be in memory as long. No client of a
-    /// class waits longer than the class's deadline.
+    /// The class's deadline is an upper limit: otherwise a client could claim to wait for weeks and keep its request
+    /// in memory for as long.
     pub fn time_budget(&self, class: usize, time_left: Duration) -> Duration {
         let time_left = time_left.min(self.live.deadline(class));
         time_left - DEADLINE_MARGIN.min(time_left / 4)
     }
 
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.values().filter(|request| !request.is_finished()).count()
     }
 
-    /// Fails all requests in flight: the process is about to end.
+    /// Fails all requests in flight, before the process exits.
     pub fn fail_open_requests(self: &Rc<Driver<P>>) {
         let open: Vec<_> = {
             let state = self.state.borrow();
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Gives a request up, with an outcome for its client or, if that has gone, without.
+    /// Abandons a request. `outcome` is sent to the client, or is `None` if the client has disconnected.
     fn abandon(self: &Rc<Driver<P>>, id: RequestId, outcome: Option<RequestOutcome>) {
         {
             let mut state = self.state.borrow_mut();
@@ -155,7 +157,7 @@
                 None => request.drop_client(),
             }
             let message = request.release_message();
-            // The balancer cancels nothing once a body is being streamed.
+            // The balancer does not cancel attempts whose body is being streamed.
             if message.is_some_and(|message| message.upload.is_some()) {
                 request.cancel_attempts();
             }
@@ -164,7 +166,7 @@
         self.remove_if_done(id);
     }
 
-    /// Ends a request with the balancer's answer.
+    /// Ends a request with the outcome that the balancer decided.
     pub(super) fn finish_request(
         self: &Rc<Driver<P>>,
         id: RequestId,
@@ -181,8 +183,8 @@
         self.remove_if_done(id);
     }
 
-    /// The outcome, or a failure where a rejection would have the client repeat what may have been
-    /// executed.
+    /// Returns `outcome`, or a failure in place of a rejection that would make the client repeat a request that may
+    /// have been executed and must not be repeated.
     fn checked_outcome(
         &self,
         id: RequestId,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Forgets a request once it is finished and so are its attempts.
+    /// Removes a request once it and its attempts have ended.
     pub(super) fn remove_if_done(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
         if state.requests.get(&id).is_some_and(InFlightRequest::is_done) {
