--- a/src/sidecar/body.rs
+++ b/src/sidecar/body.rs
@@ -1,4 +1,4 @@
-//! What bodies of requests and responses have in common: their types, sizes and minimum pace.
+//! Common parts of request and response bodies: types, size limits and minimum transfer rates.
 
 use std::future::Future;
 use std::marker::PhantomData;
@@ -10,18 +10,19 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use runtime::{Runtime, expiry};
 
-/// How many bytes of a body are buffered at most. Longer ones are streamed.
+/// The maximum number of buffered bytes of a body. Longer bodies are streamed.
 pub const STREAM_WINDOW_BYTES: usize = 64 << 10;
-/// What a streamed body takes of the budget: its window, and what is on its way.
+/// The memory reserved for a streamed body in bytes: its window, and the bytes being forwarded.
 pub const STREAM_RESERVATION_BYTES: usize = 2 * STREAM_WINDOW_BYTES;
-/// The longest pause between two pieces of a body that has begun.
+/// The maximum wait for the next bytes of a body that has begun.
 pub const MAX_BODY_GAP: Duration = Duration::from_millis(2500);
-/// The pace that clients keep on average, beside one such gap.
+/// The minimum average transfer rate of clients, not counting one such wait.
 const MIN_CLIENT_BYTES_PER_SECOND: u64 = 60_000;
-/// The same of servers. Slow ones have been seen, and a client waits for as long as it likes.
+/// The minimum average transfer rate of servers, not counting one such wait. It is lower than for clients, as slow
+/// servers occur, and a client decides itself how long it waits.
 const MIN_SERVER_BYTES_PER_SECOND: u64 = 8_000;
 
-/// The time that so many bytes may take on their way from or to a client.
+/// Returns the time that the transfer of `bytes` from or to a client may take.
 pub fn client_transfer_time(bytes: u64) -> Duration {
     transfer_time(bytes, MIN_CLIENT_BYTES_PER_SECOND)
 }
@@ -30,22 +31,22 @@
     Duration::from_millis(bytes.saturating_mul(1000) / bytes_per_second)
 }
 
-/// A body broke off, stalled, or is longer than bodies may be.
+/// A body ended early, was too slow, or exceeded the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the body broke off")]
+#[error("body ended early, was too slow or exceeded the size limit")]
 pub struct BodyError;
 
-/// A body of any type.
+/// A type-erased body.
 pub type BoxedBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
 
-/// A body that is received, which fails if its sender is too slow.
+/// A received body that fails if its sender falls below a minimum transfer rate.
 ///
-/// A peer that stops half way, or sends byte by byte, would hold a request and its resources for
-/// ever. Its time runs only while it is waited for: a receiver that takes its time is not the
-/// sender's fault. This does harm to senders with long pauses.
+/// Otherwise a peer that stops half way, or sends byte by byte, could occupy a request and its resources for ever.
+/// Only time spent waiting for the sender counts, so that a slow receiver does not fail the body. The drawback:
+/// bodies of senders that make long pauses fail too.
 pub struct MinRateBody<P: Runtime> {
     body: Incoming,
-    /// How many bytes may still be received.
+    /// Number of bytes that may still be received.
     remaining: u64,
     min_bytes_per_second: u64,
     received: u64,
@@ -57,17 +58,17 @@
 /// A wait for the sender.
 struct Wait {
     since: Instant,
-    /// Completes when it has lasted too long.
+    /// Completes when the wait has lasted too long.
     timeout: Pin<Box<dyn Future<Output = ()>>>,
 }
 
 impl<P: Runtime> MinRateBody<P> {
-    /// The rest of a client's body, which may have `remaining` bytes more.
+    /// Wraps the rest of a client's body, which may have up to `remaining` bytes.
     pub fn from_client(body: Incoming, remaining: u64) -> MinRateBody<P> {
         MinRateBody::new(body, remaining, MIN_CLIENT_BYTES_PER_SECOND)
     }
 
-    /// The rest of a server's body, which may have `remaining` bytes more.
+    /// Wraps the rest of a server's body, which may have up to `remaining` bytes.
     pub fn from_server(body: Incoming, remaining: u64) -> MinRateBody<P> {
         MinRateBody::new(body, remaining, MIN_SERVER_BYTES_PER_SECOND)
     }
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Waits for the sender; ready when it has taken too long.
+    /// Polls the wait for the sender. Ready when the sender has taken too long.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let wait = self.wait.get_or_insert_with(|| {
             let allowed = MAX_BODY_GAP + transfer_time(self.received, self.min_bytes_per_second);
@@ -95,8 +96,8 @@
         wait.timeout.as_mut().poll(cx)
     }
 
-    /// Counts what was received.
-    fn count(&mut self, frame: &Frame<Bytes>) -> Result<(), BodyError> {
+    /// Counts the bytes of a received frame. Fails if the body exceeds its size limit.
+    fn count_frame(&mut self, frame: &Frame<Bytes>) -> Result<(), BodyError> {
         let bytes = frame.data_ref().map_or(0, |data| data.len() as u64);
         self.received += bytes;
         self.remaining = self.remaining.checked_sub(bytes).ok_or(BodyError)?;
@@ -120,7 +121,7 @@
         }
         Poll::Ready(frame.map(|frame| {
             let frame = frame.map_err(|_| BodyError)?;
-            self.count(&frame)?;
+            self.count_frame(&frame)?;
             Ok(frame)
         }))
     }
--- a/src/sidecar/execution.rs
+++ b/src/sidecar/execution.rs
@@ -1,40 +1,41 @@
-//! Whether a server can have executed an attempt, by the bytes that passed on its connections.
+//! Decides from the bytes sent and received on an attempt's connections whether a server may have executed it.
 //!
-//! The facts come from the observer beneath hyper, not from what was made of the response above it.
+//! The facts come from the observer between hyper and the socket, independently of how the response is interpreted
+//! above hyper.
 
 use std::fmt::{self, Display, Formatter};
 
 use super::framing::Unprocessed;
 
-/// The statuses with which a server may tell that it has not processed a request.
+/// The statuses with which a server can reject a request unprocessed.
 const REJECTION_STATUSES: [u16; 2] = [503, 504];
 
-/// What arrived in response to a request.
+/// Facts about the response to a request, as seen on the socket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseFacts {
-    /// The status of the final response; none before its head is whole.
+    /// The status of the final response, or `None` before its head is complete.
     pub status: Option<u16>,
-    /// What its head says of processing.
+    /// Whether the head says that the request was not processed.
     pub unprocessed: Unprocessed,
-    /// It has arrived up to the end that its head announces.
+    /// Whether the response arrived up to the end given by its head.
     pub complete: bool,
-    /// Nothing arrived before the request was written in full, or behind the response.
+    /// Whether no bytes arrived before the request was written in full or after the response.
     pub in_turn: bool,
 }
 
-/// What is known of an attempt when it ends.
+/// Facts about an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionFacts {
-    /// How many copies of the request were written in full, each on a connection of its own.
+    /// Number of copies of the request that were written in full, each on its own connection.
     pub copies_sent: u32,
-    /// What arrived on the last connection.
+    /// The response on the last connection.
     pub response: ResponseFacts,
-    /// No response to an earlier request could still arrive on that connection.
+    /// Whether no response to an earlier request can be outstanding on that connection.
     pub connection_settled: bool,
 }
 
 impl ExecutionFacts {
-    /// Nothing was sent.
+    /// The facts of an attempt of which nothing was sent.
     pub const NOT_SENT: ExecutionFacts = ExecutionFacts {
         copies_sent: 0,
         response: ResponseFacts {
@@ -46,11 +47,11 @@
         connection_settled: true,
     };
 
-    /// Why the attempt cannot have been executed.
+    /// Returns the proof that the attempt was not executed.
     ///
     /// # Errors
     ///
-    /// Why it may have been.
+    /// Returns why the attempt may have been executed.
     pub fn never_ran(&self) -> Result<NonExecutionProof, ExecutionDoubt> {
         let ResponseFacts { status, unprocessed, complete, in_turn } = self.response;
         match self.copies_sent {
@@ -78,36 +79,37 @@
     }
 }
 
-/// Why an attempt cannot have been executed.
+/// The proof that an attempt was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NonExecutionProof {
-    /// Its last byte was not written.
+    /// The last byte of the request was not written.
     NotSent,
-    /// Its server rejected it unprocessed, in a response that is whole and belongs to nothing else.
+    /// The server rejected the request unprocessed, in a complete response that belongs to no other request.
     Rejected,
 }
 
-/// Why an attempt may have been executed.
+/// The reason why an attempt may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionDoubt {
-    /// No head of a response has arrived.
+    /// No complete response head arrived.
     NoResponse,
     /// The response does not say that the request was not processed.
     NotRejected,
-    /// The response says more than one thing about that, or something else than the protocol has.
+    /// The response states more than once whether the request was processed, or in a form that the protocol does not
+    /// define.
     Contradictory,
-    /// The response may not be whole.
+    /// The response may be incomplete.
     Incomplete,
-    /// Something arrived before the request was written in full, or behind the response.
+    /// Bytes arrived before the request was written in full, or after the response.
     OutOfTurn,
-    /// Another copy had been written in full before.
+    /// Another copy of the request had been written in full before.
     EarlierCopy,
-    /// The response may belong to the request before on its connection.
+    /// The response may belong to an earlier request on the connection.
     Unsettled,
 }
 
 impl ExecutionDoubt {
-    /// All of them, in the order in which they are reported.
+    /// All reasons, in the order in which they are reported.
     pub const ALL: [ExecutionDoubt; 7] = [
         ExecutionDoubt::NoResponse,
         ExecutionDoubt::NotRejected,
@@ -118,7 +120,7 @@
         ExecutionDoubt::Unsettled,
     ];
 
-    /// The name in logs and statistics.
+    /// Returns the name used in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             ExecutionDoubt::NoResponse => "no_response",
--- a/src/sidecar/execution/tests.rs
+++ b/src/sidecar/execution/tests.rs
@@ -1,4 +1,4 @@
-//! What proves that an attempt was not executed, and what does not.
+//! Tests of which facts prove that an attempt was not executed.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn whole_rejection_and_unwritten_request_are_proofs() {
+fn complete_rejection_and_incomplete_request_are_proofs() {
     assert_eq!(REJECTED.never_ran(), Ok(NonExecutionProof::Rejected));
     assert_eq!(
         with_response(|r| r.status = Some(504)).never_ran(),
--- a/src/sidecar/framing.rs
+++ b/src/sidecar/framing.rs
@@ -1,60 +1,60 @@
-//! Where HTTP/1.1 messages begin and end in the bytes that a peer sends. hyper parses the messages;
-//! this watches the same bytes and finds what hyper repairs or ignores without a word.
+//! HTTP/1.1 message framing: finds where messages begin and end in the bytes that a peer sends.
 //!
-//! It guards against every peer that leaves it open where a message ends: requests with two lengths
-//! that hide another request, requests sent before their turn, heads and bodies without end, noise
-//! or a second response behind a response. It does harm if it sees an end where hyper sees none, so
-//! it is stricter than hyper throughout: what it accepts, hyper reads the same way.
+//! hyper parses the messages. This module follows the same bytes and detects what hyper silently
+//! repairs or ignores. It protects against ambiguous message boundaries: request smuggling by means
+//! of two lengths, pipelined requests, heads and bodies without end, and noise or a second response
+//! after a response. Seeing an end where hyper sees none would do harm, so the rules are stricter
+//! than those of hyper: what is accepted here, hyper reads the same way.
 
 use hyper::StatusCode;
 
-/// The longest head, in bytes. hyper's buffer holds as much.
+/// The maximum length of a head in bytes, also set as the size of hyper's buffer.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// How much of a line is kept: enough for the headers that tell how long a body is.
+/// The number of bytes of a line that are kept, enough for the headers that define the length of the body.
 const MAX_KEPT_LINE_BYTES: usize = 128;
-/// The header with which a server tells that it rejected a request without processing it.
+/// The header with which a server states that it rejected a request without processing it.
 pub const UNPROCESSED_HEADER: &str = "x-unprocessed";
-/// How many interim (1xx) responses may precede the final one.
+/// The maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 16;
-/// More digits than the size of any chunk has.
+/// The maximum number of digits of a chunk size, more than the size of any accepted chunk needs.
 const MAX_CHUNK_SIZE_DIGITS: u8 = 8;
-/// Numbers with more digits than this are taken for the largest there is.
+/// Numbers with more digits than this are treated as `u64::MAX`.
 const MAX_NUMBER_DIGITS: usize = 18;
 
-/// What kind of messages a peer sends.
+/// The kind of messages that a peer sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// Requests.
     Request,
-    /// Responses, each to a request whose response may have a body.
+    /// Responses to requests whose method allows a response body.
     Response,
 }
 
-/// What is wrong with a message.
+/// An error in the framing of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
     /// The head is longer than [`MAX_HEAD_BYTES`].
-    #[error("a head that is too long")]
+    #[error("message head too long")]
     HeadTooLong,
-    /// The body is longer than bodies may be.
-    #[error("a body that is too long")]
+    /// The body is longer than the limit.
+    #[error("message body too long")]
     BodyTooLong,
-    /// The length is not a number, or there are several.
-    #[error("a length that cannot be read")]
+    /// The content length is not a number, or is given more than once.
+    #[error("invalid or repeated content length")]
     InvalidLength,
-    /// Both a length and chunked encoding are given.
-    #[error("a length and chunks")]
+    /// Both a content length and chunked encoding are given.
+    #[error("both a content length and a transfer encoding")]
     ConflictingLengths,
-    /// More was received before this message had been dealt with.
-    #[error("more than one message at a time")]
+    /// Further bytes were received before this message had been handled.
+    #[error("unexpected bytes after a message")]
     UnexpectedData,
-    /// More interim responses than are accepted.
-    #[error("too many interim answers")]
+    /// There are more interim responses than the limit.
+    #[error("too many interim responses")]
     TooManyInterimResponses,
 }
 
 impl FramingError {
-    /// The status of the response that tells a client.
+    /// Returns the status of the response to a client that made this error.
     pub fn status(self) -> StatusCode {
         match self {
             FramingError::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -64,63 +64,64 @@
     }
 }
 
-/// What the head of a response says of whether the request was processed.
+/// What the head of a response says about whether the request was processed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unprocessed {
-    /// Nothing.
+    /// It says nothing.
     #[default]
     Unsaid,
-    /// That it was not.
+    /// The request was not processed.
     Promised,
-    /// Several things, or something that the protocol does not have.
+    /// The header occurs more than once, or has a value that the protocol does not define.
     Contradictory,
 }
 
+/// The position within a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing of the next message has been received.
+    /// No byte of the next message has been received.
     BeforeHead,
     Head,
-    /// In a body of which so many bytes are missing.
+    /// In a body of which this number of bytes is missing.
     Body(u64),
     /// In a chunked body (RFC 9112, section 7.1).
     Chunked(ChunkState),
-    /// Only hyper sees where the body ends: nothing may follow this message.
+    /// The end of the body is not tracked and left to hyper. No message may follow this one.
     EndUnknown,
     Complete,
 }
 
-/// What comes next in a chunked body.
+/// The element that comes next in a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
-    /// Digits of a size.
+    /// A digit of the chunk size, or what ends the size.
     Size { size: u64, digits: u8 },
-    /// An extension, up to the end of its line.
+    /// A chunk extension, up to the end of its line.
     Extension { size: u64 },
-    /// The line feed behind a size.
+    /// The line feed after a chunk size.
     SizeLf { size: u64 },
-    /// Data of which so many bytes are missing.
+    /// Chunk data of which `missing` bytes are still to come.
     Data { missing: u64 },
-    /// The carriage return behind the data.
+    /// The carriage return after the chunk data.
     DataCr,
-    /// The line feed behind the data.
+    /// The line feed after the chunk data.
     DataLf,
-    /// The first byte of a line behind the last chunk.
+    /// The first byte of a line after the last chunk.
     TrailerStart,
-    /// The rest of such a line.
+    /// The rest of a trailer line.
     Trailer,
     /// The line feed of the empty line that ends the body.
     EndLf,
 }
 
-/// Follows the messages of one peer.
+/// Tracks the boundaries of the messages that one peer sends.
 #[derive(Debug)]
 pub struct Framing {
     kind: MessageKind,
-    /// In bytes.
+    /// The maximum length of a body in bytes.
     max_body: usize,
     state: State,
-    /// Bytes of the head, or of the chunked body's extensions and trailers.
+    /// Number of bytes in the head so far, or in the extensions and trailers of a chunked body.
     head_bytes: usize,
     interim_responses: u32,
     line: Vec<u8>,
@@ -128,15 +129,15 @@
     status: u16,
     content_length: Option<u64>,
     is_chunked: bool,
-    /// The body is chunked and nothing else, as far as the head tells.
+    /// Whether the only transfer encoding is a single `chunked`.
     is_only_chunked: bool,
     unprocessed: Unprocessed,
-    /// The sum of the sizes of the chunks so far.
+    /// The sum of the chunk sizes so far.
     chunk_bytes: u64,
 }
 
 impl Framing {
-    /// Before the first message. Bodies may have up to `max_body` bytes.
+    /// Creates the state before the first message. Bodies may have up to `max_body` bytes.
     pub fn new(kind: MessageKind, max_body: usize) -> Framing {
         Framing {
             kind,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// This message has been dealt with; the next one may follow.
+    /// Marks the present message as handled, so that the next one may follow.
     pub fn start_next(&mut self) {
         self.interim_responses = 0;
         self.reset();
@@ -173,37 +174,37 @@
         self.chunk_bytes = 0;
     }
 
-    /// Whether some of a message has been received.
+    /// Returns whether a byte of the present message has been received.
     pub fn has_started(&self) -> bool {
         self.state != State::BeforeHead
     }
 
-    /// Whether all of the message has been received, as far as its head tells.
+    /// Returns whether the message has been received up to the end given by its head.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// The status of a response; none before its head has been received.
+    /// Returns the status of a response, or `None` before its head has been received.
     pub fn status(&self) -> Option<u16> {
         let has_head = !matches!(self.state, State::BeforeHead | State::Head);
         has_head.then_some(self.status)
     }
 
-    /// What the head of a response says of whether the request was processed.
+    /// Returns what the head of a response says about whether the request was processed.
     pub fn unprocessed(&self) -> Unprocessed {
         self.unprocessed
     }
 
-    /// Whether the head tells how the body ends.
+    /// Returns whether the head has a content length or a transfer encoding.
     pub fn has_explicit_end(&self) -> bool {
         self.content_length.is_some() || self.is_chunked
     }
 
-    /// Takes in received bytes.
+    /// Processes received bytes.
     ///
     /// # Errors
     ///
-    /// What is wrong with the message; nothing of this peer can be used from then on.
+    /// Fails if the framing is invalid. Nothing that the peer sends can be used from then on.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), FramingError> {
         let mut bytes = bytes;
         while let Some((&byte, rest)) = bytes.split_first() {
@@ -249,10 +250,10 @@
         Ok(())
     }
 
-    /// The state behind one byte between the data of chunks.
+    /// Processes one byte of a chunked body outside of chunk data, and returns the next state.
     ///
-    /// An end seen where hyper sees none would let the next message pass for part of this one. What
-    /// is not written exactly as the standard has it leaves the end to hyper.
+    /// If this saw an end where hyper sees none, hyper would read the next message as part of this one. A body that
+    /// deviates from the standard therefore leaves the end to hyper.
     fn feed_chunk(&mut self, chunk: ChunkState, byte: u8) -> Result<State, FramingError> {
         use ChunkState::*;
         let next = match (chunk, byte) {
@@ -323,11 +324,11 @@
         Ok(())
     }
 
-    /// Takes from a header line what it tells of the body's length and of processing.
+    /// Reads from a header line the length of the body and whether the request was processed.
     fn read_header(&mut self) -> Result<(), FramingError> {
         let is_continuation = matches!(self.line.first(), Some(b' ' | b'\t'));
         if is_continuation && self.unprocessed == Unprocessed::Promised {
-            // It may belong to the header that made the promise.
+            // The line may continue the header that said so.
             self.unprocessed = Unprocessed::Contradictory;
         }
         let Some(colon) = self.line.iter().position(|&b| b == b':') else { return Ok(()) };
@@ -379,7 +380,7 @@
     }
 }
 
-/// A number of digits alone.
+/// Parses a number that consists of decimal digits only.
 fn parse_number(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
--- a/src/sidecar/framing/tests.rs
+++ b/src/sidecar/framing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of message framing, each message also fed byte by byte.
+//! Tests of message framing. Requests are fed as a whole and again byte by byte.
 
 use super::*;
 
@@ -7,7 +7,6 @@
 fn requests(text: &str) -> Result<Framing, FramingError> {
     let mut complete = Framing::new(MessageKind::Request, MAX_BODY);
     let result = complete.feed(text.as_bytes());
-    // The same byte by byte.
     let mut piecemeal = Framing::new(MessageKind::Request, MAX_BODY);
     let one_by_one = text.as_bytes().chunks(1).try_for_each(|b| piecemeal.feed(b));
     assert_eq!(result, one_by_one, "{text:?}");
@@ -111,7 +110,7 @@
 }
 
 #[test]
-fn promise_of_an_unprocessed_request_counts_when_it_is_made_once() {
+fn unprocessed_header_counts_only_if_it_occurs_once_with_value_1() {
     let long = format!("X-Unprocessed: 1{}0\r\n", " ".repeat(MAX_KEPT_LINE_BYTES));
     let heads = [
         ("", Unprocessed::Unsaid),
@@ -126,7 +125,7 @@
     for (head, expected) in heads {
         let mut framing = Framing::new(MessageKind::Response, 100);
         let text = format!("HTTP/1.1 503 No\r\n{head}Content-Length: 2\r\n\r\n");
-        framing.feed(text.as_bytes()).expect("a sound head");
+        framing.feed(text.as_bytes()).expect("a valid head");
         assert_eq!((framing.status(), framing.unprocessed()), (Some(503), expected), "{head:?}");
         framing.start_next();
         assert_eq!((framing.status(), framing.unprocessed()), (None, Unprocessed::Unsaid));
@@ -134,10 +133,10 @@
 }
 
 #[test]
-fn promise_in_an_interim_response_is_not_one_of_the_final_response() {
+fn unprocessed_header_of_an_interim_response_does_not_count_for_the_final_one() {
     let mut framing = Framing::new(MessageKind::Response, 100);
     let interim = "HTTP/1.1 103 Early\r\nX-Unprocessed: 1\r\n\r\n";
     let last = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-    framing.feed(format!("{interim}{last}").as_bytes()).expect("sound heads");
+    framing.feed(format!("{interim}{last}").as_bytes()).expect("valid heads");
     assert_eq!((framing.status(), framing.unprocessed()), (Some(503), Unprocessed::Unsaid));
 }
--- a/src/sidecar/invariants.rs
+++ b/src/sidecar/invariants.rs
@@ -1,35 +1,34 @@
-//! What the protocol's rules allow at the moment of an action: sending an attempt, repeating it, rejecting
-//! its request.
+//! Checks of the protocol's rules at the moment of an action: sending an attempt, repeating it, or rejecting its
+//! request.
 //!
-//! [`may_send`] and [`may_reject`] are asked by the code next to the sockets, with what that code knows
-//! itself. They repeat what the balancer has decided before, from an account of their own: an error in
-//! the one shows as a disagreement with the other, is counted as a [`Violation`], and the action is not
-//! taken.
+//! The code next to the sockets calls these checks with facts that it gathers itself, independently of the balancer,
+//! which has made the same decision before. An error on either side shows as a disagreement: it is counted as a
+//! [`Violation`], and the action is not taken.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Instant;
 
 use crate::settings::RetrySafety;
 
-/// A rule of the protocol that did not hold.
+/// A violation of a protocol rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A client's connection was closed while it waited for the response to a request that was read.
+    /// A client's connection was closed before the response to a request that had been read.
     UnansweredClose,
-    /// An attempt was to start for a request that has its final answer.
+    /// An attempt was about to start for a request that has its final response.
     AttemptAfterEnd,
-    /// An attempt was to repeat a request that may have been executed and must not be repeated.
+    /// An attempt was about to repeat a request that may have been executed and must not be repeated.
     UnsafeRepeat,
-    /// A request that may have been executed and must not be repeated was to be rejected.
+    /// A request that may have been executed and must not be repeated was about to be rejected.
     UnsafeRejection,
-    /// An attempt was to start at a server that wants none.
+    /// An attempt was about to start at a server that does not accept new requests.
     UnreadyServer,
-    /// An attempt that may have been executed was to pass for one that was not.
+    /// An attempt that may have been executed was about to be reported as not executed.
     UnprovenRejection,
 }
 
 impl Violation {
-    /// All of them, in the order in which they are reported.
+    /// All violations, in the order in which they are reported.
     pub const ALL: [Violation; 6] = [
         Violation::UnansweredClose,
         Violation::AttemptAfterEnd,
@@ -39,7 +38,7 @@
         Violation::UnprovenRejection,
     ];
 
-    /// The name in logs and statistics.
+    /// Returns the name used in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             Violation::UnansweredClose => "unanswered_close",
@@ -58,39 +57,39 @@
     }
 }
 
-/// What is known of an attempt at the moment at which it could be sent.
+/// Facts about an attempt that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// The request has its final answer, or its client has left.
+    /// Whether the request has its final response, or its client has disconnected.
     pub finished: bool,
-    /// Its server accepts new requests, as far as is known.
+    /// Whether the server accepts new requests according to the endpoint list.
     pub server_ready: bool,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
-    /// Until when servers recognize what the attempt repeats; none if it repeats nothing.
+    /// The end of the idempotency window of the earlier attempts, or `None` if there is none to observe.
     pub start_by: Option<Instant>,
 }
 
-/// Why an attempt is not sent.
+/// The reason why an attempt is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// Nobody waits for its response.
+    /// Nobody waits for the response any more.
     #[error("the request is finished")]
     Finished,
-    /// Its server drains, or is no longer listed.
+    /// The server drains or is no longer listed.
     #[error("the server accepts no new requests")]
     ServerNotReady,
-    /// Its server may have forgotten what it repeats.
+    /// The server may have forgotten the request that the attempt repeats.
     #[error("the idempotency window of an earlier attempt is over")]
     WindowOver,
 }
 
 impl SendRefusal {
-    /// All of them, in the order in which they are reported.
+    /// All reasons, in the order in which they are reported.
     pub const ALL: [SendRefusal; 3] =
         [SendRefusal::Finished, SendRefusal::ServerNotReady, SendRefusal::WindowOver];
 
-    /// The name in statistics.
+    /// Returns the name used in statistics.
     pub fn name(self) -> &'static str {
         match self {
             SendRefusal::Finished => "finished",
@@ -100,15 +99,15 @@
     }
 }
 
-/// Whether an attempt may be sent now.
+/// Checks whether an attempt may be sent now.
 ///
-/// This is asked each time that bytes of a request could reach a server: when its connection is
-/// established, when it is sent once more, and before a byte that was held back. Between two of these
-/// moments the client may leave, a list may arrive, or a window may end.
+/// This is called each time before bytes of a request could reach a server: when its connection is established, when
+/// it is sent again, and before a byte that was held back is released. Between two of these moments the client may
+/// disconnect, an endpoint list may arrive, or an idempotency window may end.
 ///
 /// # Errors
 ///
-/// Why it may not.
+/// Returns the reason why the attempt may not be sent.
 pub fn may_send(facts: SendFacts) -> Result<(), SendRefusal> {
     if facts.finished {
         return Err(SendRefusal::Finished);
@@ -122,14 +121,14 @@
     Ok(())
 }
 
-/// Whether a request may be sent once more, where an earlier attempt may have been executed.
+/// Returns whether a request may be sent again. `may_have_run`: whether an earlier attempt may have been executed.
 pub fn may_repeat(retry_safety: RetrySafety, may_have_run: bool) -> bool {
     retry_safety != RetrySafety::NonIdempotent || !may_have_run
 }
 
-/// Whether a client may be told to send a request again.
+/// Returns whether a request may be rejected, which tells the client to send it again.
 ///
-/// `any_server_deduplicates` says that whatever server gets the repeat recognizes its key.
+/// `any_server_deduplicates` is set if every server that can get the repeat recognizes its idempotency key.
 pub fn may_reject(
     retry_safety: RetrySafety,
     any_server_deduplicates: bool,
--- a/src/sidecar/invariants/tests.rs
+++ b/src/sidecar/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! The checks that are asked before an attempt, a repeat or a rejection.
+//! Tests of the checks made before an attempt, a repeat or a rejection.
 
 use std::time::{Duration, Instant};
 
--- a/src/sidecar/sync_state.rs
+++ b/src/sidecar/sync_state.rs
@@ -1,24 +1,24 @@
-//! What speaks against a response on a used connection, and what a check of its connection found.
+//! Signs of a desync on a reused connection, and results of sync checks.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Why a response may answer another request than the last one on its connection.
+/// The sign that a response may not answer the last request on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DesyncSign {
-    /// Bytes arrived before the request was written in full, or behind the response.
+    /// Bytes arrived before the request was written in full, or after the response.
     OutOfTurn,
-    /// It began sooner than the server can have made it.
+    /// The response began earlier than the server can have produced it.
     TooSoon,
-    /// Its body is that of an earlier response on the connection.
+    /// The body equals that of an earlier response on the connection.
     RepeatedBody,
 }
 
 impl DesyncSign {
-    /// All of them, in the order in which they are reported.
+    /// All signs, in the order in which they are reported.
     pub const ALL: [DesyncSign; 3] =
         [DesyncSign::OutOfTurn, DesyncSign::TooSoon, DesyncSign::RepeatedBody];
 
-    /// The name in logs and statistics.
+    /// Returns the name used in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             DesyncSign::OutOfTurn => "out_of_turn",
@@ -34,22 +34,22 @@
     }
 }
 
-/// Whether a response answers the last request on its connection.
+/// The result of a sync check: whether a response answers the last request on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncState {
-    /// It does.
+    /// The response answers the last request.
     InSync,
-    /// Something else came before the answer to a further message.
+    /// Other bytes arrived before the response to the probe.
     OutOfSync,
-    /// There was no answer to a further message, or none could be sent.
+    /// There was no response to the probe, or no probe could be sent.
     Unknown,
 }
 
 impl SyncState {
-    /// All of them, in the order in which they are reported.
+    /// All states, in the order in which they are reported.
     pub const ALL: [SyncState; 3] = [SyncState::InSync, SyncState::OutOfSync, SyncState::Unknown];
 
-    /// The name in logs and statistics.
+    /// Returns the name used in logs and statistics.
     pub fn name(self) -> &'static str {
         match self {
             SyncState::InSync => "in_sync",
--- a/src/sidecar/upload.rs
+++ b/src/sidecar/upload.rs
@@ -1,7 +1,7 @@
-//! Request bodies that are too long to be buffered: they are streamed to a server as they arrive.
+//! Streamed request bodies: bodies that are too long to be buffered are sent to a server as they arrive.
 //!
-//! The first bytes of such a body are kept until more is wanted, so a request that no server has
-//! begun to receive can still be sent to another one. What has been sent cannot be replayed.
+//! The first bytes of such a body are kept until an attempt asks for more. Until then, the request can still be sent
+//! to another server; after that, the body cannot be replayed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,44 +15,44 @@
 
 use super::body::{BodyError, BoxedBody, MAX_BODY_GAP};
 
-/// How far an upload has come.
+/// The progress of an upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// All that has been received is kept.
+    /// All bytes received so far are kept.
     Replayable,
-    /// Some of it has been sent and is no longer kept.
+    /// Some bytes have been sent and are no longer kept.
     Streaming,
-    /// Its last byte was received at this time.
+    /// The last byte was received at this time.
     Complete(Instant),
     Failed,
 }
 
-/// The body of one request, streamed to whichever attempt gets it.
+/// A streamed request body, shared by the attempts of the request.
 pub struct Upload {
-    /// How long the client waits for a response, from the body's last byte on.
+    /// How long the client waits for the response, from the last byte of the body on.
     pub response_timeout: Duration,
-    /// Its length in bytes, if the request's head tells.
+    /// The length in bytes, or `None` if the head of the request does not give it.
     pub length: Option<u64>,
-    /// When its last byte was received by the sidecar, where that is seen before it is wanted.
+    /// When the sidecar received the last byte, if that is detected before an attempt reads it.
     received_at: Rc<Cell<Option<Instant>>>,
     prefix: RefCell<Bytes>,
     source: RefCell<BoxedBody>,
     progress: Cell<Progress>,
-    /// No attempt gets anything more: the request has its response.
+    /// Whether the request has its response, and no attempt gets further bytes.
     closed: Cell<bool>,
-    /// How many attempts have begun.
+    /// Number of attempts started.
     attempts: Cell<u64>,
-    /// The attempt that receives what is not kept.
+    /// The number of the attempt that receives the bytes after the prefix, or `None` before one has asked for them.
     streaming_attempt: Cell<Option<u64>>,
-    /// Bytes sent behind the prefix.
+    /// Number of bytes sent after the prefix.
     streamed: Cell<u64>,
     changed: Notify,
     now: fn() -> Instant,
 }
 
 impl Upload {
-    /// An upload of which `prefix` has been received; the rest is in `source`, and `received_at`
-    /// tells when its last byte was received.
+    /// Creates an upload of which `prefix` has been received. `source` yields the rest, and `received_at` is set when
+    /// the last byte is received.
     pub fn new<P: Runtime>(
         prefix: Bytes,
         source: BoxedBody,
@@ -76,12 +76,12 @@
         })
     }
 
-    /// Whether another attempt can still get all of it.
+    /// Returns whether another attempt can still send the complete body.
     pub fn is_replayable(&self) -> bool {
         self.progress.get() == Progress::Replayable && !self.closed.get()
     }
 
-    /// When its last byte was sent, or could have been, if it was.
+    /// Returns when the last byte was passed on for sending, or `None` before.
     pub fn completed_at(&self) -> Option<Instant> {
         match self.progress.get() {
             Progress::Complete(at) => Some(at),
@@ -89,28 +89,28 @@
         }
     }
 
-    /// Until when the client waits, once the last byte has been received.
+    /// Returns the time until which the client waits, or `None` before the last byte has been received.
     ///
-    /// The rest of a body may have been received, and wait here, long before an attempt wants it:
-    /// its time runs meanwhile.
+    /// The client's timeout starts when the sidecar receives the last byte, which can be long before an attempt reads
+    /// it.
     pub fn deadline(&self) -> Option<Instant> {
         Some(self.received_at.get().or(self.completed_at())? + self.response_timeout)
     }
 
-    /// Completes when some of it has been sent that is not kept.
+    /// Completes when the body can no longer be replayed.
     pub async fn streaming_started(&self) {
-        self.until(|progress| progress != Progress::Replayable).await;
+        self.wait_for(|progress| progress != Progress::Replayable).await;
     }
 
-    /// Completes when its last byte has been received.
+    /// Completes when the last byte has been received.
     pub async fn completed(&self) {
-        self.until(|progress| matches!(progress, Progress::Complete(_))).await;
+        self.wait_for(|progress| matches!(progress, Progress::Complete(_))).await;
     }
 
-    /// Completes when nothing of it has moved for long.
+    /// Completes when no byte has been sent for twice [`MAX_BODY_GAP`].
     ///
-    /// A server that accepts no more of a body would hold its client for ever. A client that sends
-    /// no more is detected sooner, by [`MinRateBody`](super::body::MinRateBody).
+    /// Without this limit, a server that stops reading would block its client for ever. A client that stops sending
+    /// is detected sooner, by [`MinRateBody`](super::body::MinRateBody).
     pub async fn stalled<P: Runtime>(&self) {
         loop {
             let before = self.streamed.get();
@@ -121,7 +121,7 @@
         }
     }
 
-    async fn until(&self, reached: impl Fn(Progress) -> bool) {
+    async fn wait_for(&self, reached: impl Fn(Progress) -> bool) {
         loop {
             let changed = self.changed.notified();
             if reached(self.progress.get()) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The next piece behind the prefix, which is no longer kept.
+    /// Polls for the next bytes after the prefix. The prefix is no longer kept from then on.
     fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self.progress.get() {
             Progress::Complete(_) => return Poll::Ready(None),
@@ -170,8 +170,10 @@
         }
     }
 
-    /// Of a body with a known length nobody asks for more than its last byte, so the end is noted
-    /// with that: otherwise its time would never begin to run.
+    /// Counts bytes sent, and records the end of the body with its last byte.
+    ///
+    /// hyper does not poll a body of known length after its last byte, so the end would otherwise go unnoticed and
+    /// the client's timeout would never start.
     fn record_streamed(&self, data: &Bytes) {
         self.streamed.set(self.streamed.get() + data.len() as u64);
         if self.source.borrow().is_end_stream() {
@@ -179,13 +181,13 @@
         }
     }
 
-    /// Discards what the client still sends, once the request has its response.
+    /// Reads and discards the rest of the body after the request has its response.
     ///
-    /// A response that is written while the client still sends may be lost with the connection.
+    /// If the connection were closed while the client still sends, the client might lose the response.
     ///
     /// # Errors
     ///
-    /// When the body fails.
+    /// Fails if the body fails.
     pub async fn drain(&self) -> Result<(), BodyError> {
         self.closed.set(true);
         while let Some(piece) = std::future::poll_fn(|cx| self.poll_next(cx)).await {
@@ -195,10 +197,10 @@
     }
 }
 
-/// An upload as one attempt sends it: all of it, from the first byte on.
+/// The body of one attempt, read from an [`Upload`] from its first byte on.
 ///
-/// Two attempts that share what is not kept would each send a body with holes, which looks complete
-/// if it is chunked. The first attempt that wants more than the prefix gets it; any other fails.
+/// Only the first attempt that asks for more than the prefix gets it, and any other fails. If two attempts shared the
+/// rest, each would send a body with holes, which looks complete if it is chunked.
 pub struct UploadAttempt {
     upload: Rc<Upload>,
     number: u64,
@@ -206,7 +208,7 @@
 }
 
 impl UploadAttempt {
-    /// For an attempt that begins now.
+    /// Creates the body of a new attempt.
     pub fn new(upload: Rc<Upload>) -> UploadAttempt {
         let prefix = Some(upload.prefix.borrow().clone());
         let number = upload.attempts.get();
@@ -214,16 +216,16 @@
         UploadAttempt { upload, number, prefix }
     }
 
-    /// Its length in bytes, if it is known.
+    /// Returns the length in bytes, or `None` if it is unknown.
     pub fn length(&self) -> Option<u64> {
         self.upload.length
     }
 
-    /// The next piece.
+    /// Polls for the next bytes of the body.
     ///
     /// # Errors
     ///
-    /// When the client's body fails, another attempt has what is wanted, or the request has its
+    /// Fails if the client's body fails, if another attempt receives the rest of the body, or if the request has its
     /// response.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if self.upload.closed.get() {
--- a/src/sidecar/upload/tests.rs
+++ b/src/sidecar/upload/tests.rs
@@ -17,7 +17,7 @@
         match attempt.poll_next(&mut cx) {
             Poll::Ready(Some(piece)) => all.extend_from_slice(&piece?),
             Poll::Ready(None) => return Ok(all),
-            Poll::Pending => panic!("all of it is available"),
+            Poll::Pending => panic!("the whole body is available"),
         }
     }
 }
@@ -32,8 +32,11 @@
     let mut second = UploadAttempt::new(upload.clone());
     assert_eq!(read_all(&mut second).expect("complete"), b"kept and more");
     assert!(!upload.is_replayable() && upload.completed_at().is_some());
-    assert!(read_all(&mut first).is_err(), "what was sent cannot be replayed");
-    assert!(read_all(&mut UploadAttempt::new(upload)).is_err(), "nor by a third attempt");
+    assert!(read_all(&mut first).is_err(), "a body that was sent cannot be replayed");
+    assert!(
+        read_all(&mut UploadAttempt::new(upload)).is_err(),
+        "a third attempt cannot replay it either"
+    );
 }
 
 #[test]
@@ -46,7 +49,7 @@
         let next = attempt.poll_next(&mut cx);
         assert!(matches!(next, Poll::Ready(Some(Ok(b))) if b == piece));
     }
-    // Nobody asks whether there is more.
+    // The body is not polled after its last byte.
     assert_eq!(known.deadline(), known.completed_at().map(|end| end + known.response_timeout));
     let waiting = upload("kept", " and more");
     let received = Instant::now();
