--- a/tests/lifecycle/body_memory.rs
+++ b/tests/lifecycle/body_memory.rs
@@ -1,4 +1,4 @@
-//! Requests whose bodies wait for memory that others have.
+//! Requests whose bodies wait for memory that other bodies have reserved.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,12 +8,13 @@
 use crate::net::*;
 use crate::support::*;
 
-/// What 16 MB leave for bodies, in long bodies of unknown pace, and a short one that fills the rest.
+/// The number of streamed bodies for which a memory limit of 16 MB has room.
 const LONG_BODIES: usize = 42;
+/// The length in bytes of a buffered body that takes the room left beside them.
 const FILLING_BODY: usize = 65_536;
-/// What fills the memory with short bodies alone, to a rest that is too small for another.
+/// The number of such buffered bodies that leave too little memory for another one.
 const FILLING_BODIES: usize = 85;
-/// More than is left then.
+/// The length in bytes of a body for which too little memory is left in both cases.
 const WAITING_BODY: usize = 60_000;
 
 fn small_memory(config: &mut Value) {
@@ -21,7 +22,7 @@
     config["limits"]["sockets"] = 256.into();
 }
 
-/// An order with a body of `length` bytes of which `sent` are written, on a new connection.
+/// Sends an order on a new connection, with `sent` bytes of a body of `length` bytes.
 fn order_of(
     sidecar: &Sidecar,
     id: &str,
@@ -38,7 +39,7 @@
     client
 }
 
-/// A request that has arrived completely is answered in its time, also where its body is never read.
+/// A request that has arrived completely gets a response before its deadline, even if its body is never read.
 #[test]
 fn request_that_waits_for_memory_is_rejected_when_its_time_is_up() {
     let blocked = BlockedServer::new();
@@ -53,7 +54,7 @@
     assert!(!blocked.server.seen().contains(&"waiting".to_owned()));
 }
 
-/// A process that shuts down owes an answer to a request whose body it has no memory for.
+/// During shutdown, a request for whose body no memory is left still gets a response.
 #[test]
 fn request_that_waits_for_memory_is_answered_during_shutdown() {
     let blocked = BlockedServer::new();
--- a/tests/lifecycle/connecting.rs
+++ b/tests/lifecycle/connecting.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for a connection to a server, or to be accepted, while their client leaves or
-//! the server drains.
+//! Requests that wait for a connection to a server, or to be accepted, while their client disconnects or the server
+//! drains. Such a request must not be sent.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 use crate::net::*;
 use crate::support::*;
 
-/// A listener whose queue holds one connection.
+/// Returns a listener whose accept queue holds one connection.
 fn listener_with_queue_of_one() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -24,8 +24,7 @@
     socket.into()
 }
 
-/// A server to which no connection is established until it accepts: one that is not accepted fills its
-/// queue.
+/// A server to which no connection is established until it accepts, as an unaccepted connection fills its accept queue.
 struct UnacceptingServer {
     at: SocketAddr,
     listener: Option<TcpListener>,
@@ -39,14 +38,14 @@
         UnacceptingServer::of(listener_with_queue_of_one())
     }
 
-    /// Of a listener whose queue is empty, and holds one connection.
+    /// Creates a server from a listener whose accept queue is empty and holds one connection.
     fn of(listener: TcpListener) -> UnacceptingServer {
         let at = listener.local_addr().expect("bound");
         let filler = TcpStream::connect(at).expect("one fits in");
         UnacceptingServer { at, listener: Some(listener), _filler: filler, seen: Arc::default() }
     }
 
-    /// How many connections to it are requested and not established (SYN sent).
+    /// Returns the number of connections to the server that are not established yet (state SYN_SENT).
     fn pending_connections(&self) -> usize {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
         let to = format!("0100007F:{:04X}", self.at.port());
@@ -54,7 +53,7 @@
         fields.filter(|f| f.len() > 3 && f[2] == to && f[3] == "02").count()
     }
 
-    /// From now on it accepts, and responds to each request with its id.
+    /// Starts to accept connections, and responds to each request with its id.
     fn start_accepting(&mut self) {
         let seen = self.seen.clone();
         serve(self.listener.take().expect("it has not accepted so far"), move |head, socket| {
@@ -73,7 +72,7 @@
     config["settings"]["limits"]["connectTimeout"] = 20_000_000.into();
 }
 
-/// The list that has the server draining arrives long before the connection is established.
+/// The endpoint list with the draining server arrives long before the connection is established.
 #[test]
 fn attempt_waiting_for_a_connection_is_not_sent_to_a_draining_server() {
     let mut unaccepting = UnacceptingServer::new();
@@ -98,8 +97,8 @@
     assert!(healthy.seen().contains(&"open".to_owned()), "{:?}", healthy.seen());
 }
 
-/// A server restarts at another address while an attempt waits for a connection to the old one, where
-/// another server may listen by then.
+/// A server restarts at another address while an attempt waits for a connection to the old one. Another server may
+/// listen there by then.
 #[test]
 fn attempt_waiting_for_a_connection_is_not_sent_to_the_old_address_of_a_moved_server() {
     let mut old = UnacceptingServer::new();
@@ -121,18 +120,18 @@
     assert!(other.seen().contains(&"open".to_owned()), "{:?}", other.seen());
 }
 
-/// Longer than a connection to a server rests before it is used again.
-const CONNECTION_REST: Duration = Duration::from_millis(60);
+/// The idle time of a connection in these tests, longer than the quiet period before it is reused.
+const CONNECTION_IDLE_TIME: Duration = Duration::from_millis(60);
 
-/// A request with an idempotency key on an idle connection, which the server closes once it has the
-/// request; the repeat waits for its connection for longer than servers remember the first copy.
+/// The server closes a reused connection when it has received a request with an idempotency key. The repeat waits for
+/// its connection until after the deduplication window of the first copy.
 #[test]
 fn repeat_is_not_sent_after_its_deduplication_window() {
-    // Only an immediate reset has the request repeated; a slow machine may take several tries.
+    // The request is repeated only after an immediate reset, which may take several tries on a slow machine.
     until("the request is to be repeated", repeat_waits_past_its_window);
 }
 
-/// Whether the request was to be repeated at all.
+/// Makes one try. Returns whether the request was repeated.
 fn repeat_waits_past_its_window() -> bool {
     let listener = listener_with_queue_of_one();
     let at = listener.local_addr().expect("bound");
@@ -149,7 +148,7 @@
     idle.write_all(answer("first").as_bytes()).expect("sent");
     assert!(first_answer(first).ends_with("\r\n\r\nfirst"));
     let mut unaccepting = UnacceptingServer::of(listener);
-    thread::sleep(CONNECTION_REST);
+    thread::sleep(CONNECTION_IDLE_TIME);
     let mut second = sidecar.connect();
     second.write_all(keep("second").as_bytes()).expect("sent");
     read_message(&mut read).expect("the second");
@@ -173,14 +172,15 @@
     true
 }
 
-/// Makes the text of a request with an id.
+/// A function that makes the text of a request from its id.
 type RequestText = fn(&str) -> String;
 
-/// How a client leaves.
-const DEPARTURES: [&str; 5] = ["close", "half", "next request", "noise", "noise and half"];
+/// The ways in which a client disconnects: it closes the connection or only its sending side (`half`), with or without
+/// sending another request or noise before.
+const DISCONNECTS: [&str; 5] = ["close", "half", "next request", "noise", "noise and half"];
 
-/// Has a client leave; one that only ends its sending side is returned.
-fn depart(how: &str, mut socket: TcpStream) -> Option<TcpStream> {
+/// Disconnects a client. Returns its socket if it only closes its sending side.
+fn disconnect(how: &str, mut socket: TcpStream) -> Option<TcpStream> {
     match how {
         "next request" => drop(socket.write_all(look("behind").as_bytes())),
         "noise" | "noise and half" => drop(socket.write_all(b"\r\n\0noise")),
@@ -193,7 +193,7 @@
     None
 }
 
-/// A request whose end only hyper sees: a chunk size that is not written as the standard has it.
+/// Returns a request with a chunk size that deviates from the standard, so that only hyper sees where the request ends.
 fn nonstandard_chunks(id: &str) -> String {
     format!(
         "POST /order/1 HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: 20000\r\n\
@@ -201,17 +201,17 @@
     )
 }
 
-/// A request whose body is too long to be buffered.
+/// Returns an order whose body is too long to be buffered.
 fn long_order(id: &str) -> String {
     order(id).replace("Length: 2", "Length: 100000").replace("ab", &"x".repeat(100_000))
 }
 
-/// For each departure and each kind of request: nothing is sent once the connection is established.
+/// Asserts for each way to disconnect and each kind of request that nothing is sent once the connection is established.
 fn assert_nothing_is_sent_for_clients_that_left(cancel: bool) {
     let mut unaccepting = UnacceptingServer::new();
     let sidecar = Sidecar::start_with(discovery_at(unaccepting.at), |config| {
         slow_to_connect(config);
-        // Longer than the test takes: nothing times out.
+        // Longer than the test takes, so that nothing times out.
         (0..3).for_each(|class| set_times(config, class, 100_000, 200_000));
         config["settings"]["limits"]["connectTimeout"] = 200_000_000.into();
         config["settings"]["limits"]["cancel"] = cancel.into();
@@ -225,7 +225,7 @@
     ];
     let mut left = Vec::new();
     let mut waiting = Vec::new();
-    for how in DEPARTURES {
+    for how in DISCONNECTS {
         for (kind, text) in kinds {
             let id = format!("{kind} {how}").replace(' ', "-");
             let mut socket = sidecar.connect();
@@ -238,16 +238,16 @@
         }
     }
     for (how, socket) in waiting {
-        left.extend(depart(how, socket));
+        left.extend(disconnect(how, socket));
     }
-    let departed = Instant::now();
-    until("their departure is detected", || {
-        // The request for the state is not counted.
+    let disconnected_at = Instant::now();
+    until("all disconnects are detected", || {
+        // The request that reads the state is not counted.
         sidecar.state()["open"] == 0
     });
-    // The limit is 0.3 s; a machine may be slow. docs/design/endings.md has what was measured.
-    let detected_after = departed.elapsed();
-    println!("all departures are detected after {detected_after:?}");
+    // The target is 0.3 s; the bound allows for a slow machine. docs/design/endings.md has the measurements.
+    let detected_after = disconnected_at.elapsed();
+    println!("all disconnects are detected after {detected_after:?}");
     assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
     let mut last = sidecar.connect();
     last.write_all(order("last").as_bytes()).expect("sent");
@@ -273,22 +273,22 @@
     assert_nothing_is_sent_for_clients_that_left(false);
 }
 
-/// All client connections are in use, so whoever connects next waits in the listener's queue.
+/// All permits for client connections are in use, so further clients wait in the listener's accept queue.
 #[test]
 fn client_that_left_before_it_was_accepted_has_nothing_sent() {
     let blocked = BlockedServer::new();
     let sidecar = Sidecar::start(discovery(&[&blocked.server]));
-    // 64 descriptors, less the 36 that are reserved, half of them.
+    // Half of the descriptors that remain of 64 after the 36 reserved ones.
     let limit = 14;
     let admitted: Vec<_> =
         (0..limit).map(|n| blocked.receives_order(&sidecar, &format!("admitted{n}"))).collect();
     let mut left = Vec::new();
-    for how in DEPARTURES {
+    for how in DISCONNECTS {
         for (kind, text) in [("look", look as RequestText), ("order", order)] {
             let id = format!("{kind} {how}").replace(' ', "-");
             let mut socket = sidecar.connect();
             socket.write_all(text(&id).as_bytes()).expect("sent");
-            left.extend(depart(how, socket));
+            left.extend(disconnect(how, socket));
         }
     }
     let mut last = sidecar.connect();
--- a/tests/lifecycle/rejections.rs
+++ b/tests/lifecycle/rejections.rs
@@ -1,4 +1,6 @@
-//! Servers that seem to say that they have not executed a request: which answers prove it.
+//! Rejections by servers: which responses prove that a request was not executed.
+//!
+//! If a truncated or contradictory rejection counted as proof, an order could be executed twice.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write, copy, sink};
@@ -16,60 +18,63 @@
 const GAP_MS: u64 = 200;
 /// The request whose first copy is rejected.
 const ID: &str = "first";
-/// How long after an answer its second copy comes.
-const LATE_COPY: Duration = Duration::from_millis(8);
-/// How many sidecars a test starts together.
+/// The delay of a duplicate after its response.
+const COPY_DELAY: Duration = Duration::from_millis(8);
+/// The number of sidecars that a test runs at the same time.
 const SIDECARS_AT_ONCE: usize = 6;
 
-/// What a server does behind the bytes of an answer.
+/// The behavior of a server after it has written a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Then {
-    /// It waits for the next request.
+enum AfterResponse {
+    /// Waits for the next request.
     Wait,
     Close,
     Reset,
 }
 
-/// An answer to the first copy of a request.
+/// The response to the first copy of a request.
 #[derive(Clone)]
-struct Form {
+struct ServerResponse {
     text: String,
-    then: Then,
+    then: AfterResponse,
 }
 
-impl Form {
-    fn rejected(rest: &str, then: Then) -> Form {
-        Form { text: format!("{REJECTED}{rest}"), then }
+impl ServerResponse {
+    fn rejected(rest: &str, then: AfterResponse) -> ServerResponse {
+        ServerResponse { text: format!("{REJECTED}{rest}"), then }
     }
 
     fn write(&self, socket: &mut TcpStream) -> bool {
         let written = socket.write_all(self.text.as_bytes()).is_ok();
-        if self.then == Then::Reset {
-            // What was written has to arrive before the reset discards it.
+        if self.then == AfterResponse::Reset {
+            // The response has to arrive before the reset discards it.
             thread::sleep(Duration::from_millis(20));
             let _ = SockRef::from(&*socket).set_linger(Some(Duration::ZERO));
         }
-        written && self.then == Then::Wait
+        written && self.then == AfterResponse::Wait
     }
 }
 
-/// Rejections that come whole.
-fn whole_rejections() -> Vec<Form> {
+/// Returns rejections that are complete.
+fn complete_rejections() -> Vec<ServerResponse> {
     let chunked = "Transfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n";
     let gateway = "HTTP/1.1 504 Gateway Timeout\r\nx-unprocessed: 1\r\ncontent-length: 2\r\n\r\nno";
     let interim = format!("HTTP/1.1 103 Early Hints\r\n\r\n{REJECTED}Content-Length: 0\r\n\r\n");
     vec![
-        Form::rejected("Content-Length: 0\r\n\r\n", Then::Wait),
-        Form::rejected("Content-Length: 4\r\n\r\nfull", Then::Wait),
-        Form::rejected("Connection: close\r\nContent-Length: 4\r\n\r\nfull", Then::Close),
-        Form::rejected(chunked, Then::Wait),
-        Form { text: gateway.to_owned(), then: Then::Wait },
-        Form { text: interim, then: Then::Wait },
+        ServerResponse::rejected("Content-Length: 0\r\n\r\n", AfterResponse::Wait),
+        ServerResponse::rejected("Content-Length: 4\r\n\r\nfull", AfterResponse::Wait),
+        ServerResponse::rejected(
+            "Connection: close\r\nContent-Length: 4\r\n\r\nfull",
+            AfterResponse::Close,
+        ),
+        ServerResponse::rejected(chunked, AfterResponse::Wait),
+        ServerResponse { text: gateway.to_owned(), then: AfterResponse::Wait },
+        ServerResponse { text: interim, then: AfterResponse::Wait },
     ]
 }
 
-/// Rejections that do not come whole, or of which nobody can tell.
-fn cut_rejections() -> Vec<Form> {
+/// Returns rejections that are truncated, or whose end cannot be recognized.
+fn truncated_rejections() -> Vec<ServerResponse> {
     let bodies = [
         "",
         "Content-Le",
@@ -83,16 +88,16 @@
         "\r\nab",
         "Connection: close\r\n\r\nab",
     ];
-    let ends = [Then::Wait, Then::Close, Then::Reset];
-    let every_end = |body| ends.map(|then| Form::rejected(body, then));
-    let mut forms: Vec<Form> = bodies.into_iter().flat_map(every_end).collect();
+    let ends = [AfterResponse::Wait, AfterResponse::Close, AfterResponse::Reset];
+    let with_every_end = |body| ends.map(|then| ServerResponse::rejected(body, then));
+    let mut responses: Vec<ServerResponse> = bodies.into_iter().flat_map(with_every_end).collect();
     let old = format!("{}\r\nab", REJECTED.replace("1.1 503", "1.0 503"));
-    forms.extend(ends.map(|then| Form { text: old.clone(), then }));
-    forms
+    responses.extend(ends.map(|then| ServerResponse { text: old.clone(), then }));
+    responses
 }
 
-/// Answers that come whole and say several things, or nothing that the protocol has.
-fn ambiguous_rejections() -> Vec<Form> {
+/// Returns complete responses that contradict themselves, or that the protocol does not define as rejections.
+fn ambiguous_rejections() -> Vec<ServerResponse> {
     let end = "Content-Length: 0\r\n\r\n";
     let heads = [
         "503 No\r\nX-Unprocessed: 1\r\nX-Unprocessed: 0\r\n",
@@ -107,27 +112,30 @@
         "500 No\r\nX-Unprocessed: 1\r\n",
         "429 No\r\nX-Unprocessed: 1\r\n",
     ];
-    let whole = heads.map(|head| Form { text: format!("HTTP/1.1 {head}{end}"), then: Then::Wait });
-    let behind = |text: &str| Form::rejected(text, Then::Wait);
-    let mut forms: Vec<Form> = whole.into();
-    forms.push(behind("Content-Length: 0\r\n\r\nnoise"));
-    forms.push(behind("Transfer-Encoding: chunked\r\n\r\n0\r\nX-Unprocessed: 0\r\n\r\n"));
-    forms
+    let whole = heads.map(|head| ServerResponse {
+        text: format!("HTTP/1.1 {head}{end}"),
+        then: AfterResponse::Wait,
+    });
+    let behind = |text: &str| ServerResponse::rejected(text, AfterResponse::Wait);
+    let mut responses: Vec<ServerResponse> = whole.into();
+    responses.push(behind("Content-Length: 0\r\n\r\nnoise"));
+    responses.push(behind("Transfer-Encoding: chunked\r\n\r\n0\r\nX-Unprocessed: 0\r\n\r\n"));
+    responses
 }
 
-/// Servers that answer the first copy of the request with [`ID`] in one form, and serve all others.
+/// Servers that send a given response to the first copy of request [`ID`], and serve all other requests.
 struct Rejecting {
     sidecar: Sidecar,
-    /// By request, the indices of the servers that received a copy.
+    /// By request id, the indices of the servers that received a copy.
     copies: Arc<Mutex<HashMap<String, Vec<usize>>>>,
 }
 
 impl Rejecting {
-    /// One server in each of two zones.
-    fn start(form: Form) -> Rejecting {
+    /// Starts one server in each of two zones, and a sidecar.
+    fn start(response: ServerResponse) -> Rejecting {
         let copies: Arc<Mutex<HashMap<String, Vec<usize>>>> = Arc::default();
         let start = |server: usize| {
-            let (copies, form) = (copies.clone(), form.clone());
+            let (copies, response) = (copies.clone(), response.clone());
             Server::start(move |id, socket| {
                 let mut copies = copies.lock().unwrap_or_else(PoisonError::into_inner);
                 let received = copies.entry(id.to_owned()).or_default();
@@ -135,26 +143,27 @@
                 let is_first = received.len() == 1;
                 drop(copies);
                 if id == ID && is_first {
-                    return form.write(socket);
+                    return response.write(socket);
                 }
                 socket.write_all(answer(id).as_bytes()).is_ok()
             })
         };
-        let sited = [(&start(0), "a"), (&start(1), "b")];
-        let sidecar = Sidecar::start_with(discovery_of(&sited), |config| {
+        let zoned = [(&start(0), "a"), (&start(1), "b")];
+        let sidecar = Sidecar::start_with(discovery_of(&zoned), |config| {
             config["settings"]["classes"][1]["aim"] = (GAP_MS * 1000).into();
         });
         Rejecting { sidecar, copies }
     }
 
-    /// Sends a request and returns its answer, and the servers that received copies. Connections are used
-    /// before if `warm`.
-    fn exchange(&self, request: &str, id: &str, warm: bool) -> (String, Vec<usize>) {
-        if warm {
+    /// Sends a request, and returns its response and the servers that received copies.
+    ///
+    /// With `reuse`, the connections to the servers have carried other requests before.
+    fn exchange(&self, request: &str, id: &str, reuse: bool) -> (String, Vec<usize>) {
+        if reuse {
             for n in 0..4 {
                 self.sidecar.exchange(&look(&format!("warm{n}")));
             }
-            // Connections that were used just now are treated in another way.
+            // Waits until the quiet period of the connections is over.
             thread::sleep(Duration::from_millis(60));
         }
         let answer = self.sidecar.exchange(request);
@@ -163,77 +172,86 @@
     }
 }
 
-/// An order without a body.
+/// Returns an order without a body.
 fn empty_order(id: &str) -> String {
     order(id).replace("Content-Length: 2\r\n\r\nab", "Content-Length: 0\r\n\r\n")
 }
 
-/// An order whose body is too long to be buffered.
+/// Returns an order whose body is too long to be buffered.
 fn long_order(id: &str) -> String {
     let body = "x".repeat(200 << 10);
     let length = format!("Content-Length: {}\r\n\r\n{body}", body.len());
     order(id).replace("Content-Length: 2\r\n\r\nab", &length)
 }
 
-/// Plays each form with a sidecar of its own, as servers that fail get fewer requests; what `check` found.
-fn play_each<F>(forms: Vec<Form>, check: F) -> Vec<String>
+/// Runs `check` for each response and returns its findings. Each response gets its own sidecar, as servers that fail
+/// get fewer requests.
+fn check_each<F>(responses: Vec<ServerResponse>, check: F) -> Vec<String>
 where
     F: Fn(Rejecting) -> Option<String> + Sync,
 {
     let mut found = Vec::new();
-    for forms in forms.chunks(SIDECARS_AT_ONCE) {
-        let play = |form: &Form| {
-            let finding = check(Rejecting::start(form.clone()))?;
-            Some(format!("{:?}, {:?}: {finding}", form.text, form.then))
+    for responses in responses.chunks(SIDECARS_AT_ONCE) {
+        let check_one = |response: &ServerResponse| {
+            let finding = check(Rejecting::start(response.clone()))?;
+            Some(format!("{:?}, {:?}: {finding}", response.text, response.then))
         };
         found.extend(thread::scope(|scope| {
-            let plays: Vec<_> = forms.iter().map(|form| scope.spawn(move || play(form))).collect();
-            plays.into_iter().flat_map(|play| play.join().expect("no panic")).collect::<Vec<_>>()
+            let checks: Vec<_> =
+                responses.iter().map(|response| scope.spawn(move || check_one(response))).collect();
+            checks.into_iter().flat_map(|check| check.join().expect("no panic")).collect::<Vec<_>>()
         }));
     }
     found
 }
 
-/// Sends an order; what its client and the servers saw if it was executed twice, or could be.
-fn unsafe_repeat(rejecting: &Rejecting, request: fn(&str) -> String, warm: bool) -> Option<String> {
-    let (answer, copies) = rejecting.exchange(&request(ID), ID, warm);
+/// Sends an order. Returns what its client and the servers saw if the order was executed twice, or could be.
+fn unsafe_repeat(
+    rejecting: &Rejecting,
+    request: fn(&str) -> String,
+    reuse: bool,
+) -> Option<String> {
+    let (answer, copies) = rejecting.exchange(&request(ID), ID, reuse);
     let status = answer.lines().next().unwrap_or_default();
-    let is_sound = copies.len() == 1 && !is_rejected(&answer) && !answer.is_empty();
-    (!is_sound).then(|| format!("{status:?}, copies at {copies:?}"))
+    let is_valid = copies.len() == 1 && !is_rejected(&answer) && !answer.is_empty();
+    (!is_valid).then(|| format!("{status:?}, copies at {copies:?}"))
 }
 
 #[test]
 fn order_whose_rejection_is_cut_or_silent_is_neither_sent_again_nor_rejected() {
-    let found = play_each(cut_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
+    let found =
+        check_each(truncated_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
 fn order_whose_rejection_is_cut_on_a_used_connection_is_neither_sent_again_nor_rejected() {
-    let found =
-        play_each(cut_rejections(), |rejecting| unsafe_repeat(&rejecting, empty_order, true));
+    let found = check_each(truncated_rejections(), |rejecting| {
+        unsafe_repeat(&rejecting, empty_order, true)
+    });
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
 fn upload_whose_rejection_is_cut_is_neither_sent_again_nor_rejected() {
-    let found =
-        play_each(cut_rejections(), |rejecting| unsafe_repeat(&rejecting, long_order, false));
+    let found = check_each(truncated_rejections(), |rejecting| {
+        unsafe_repeat(&rejecting, long_order, false)
+    });
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
 fn order_whose_rejection_contradicts_itself_is_neither_sent_again_nor_rejected() {
     let found =
-        play_each(ambiguous_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
+        check_each(ambiguous_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
 fn order_that_is_rejected_in_a_whole_answer_is_served_elsewhere() {
-    for warm in [false, true] {
-        let found = play_each(whole_rejections(), |rejecting| {
-            let (answer, copies) = rejecting.exchange(&order(ID), ID, warm);
+    for reuse in [false, true] {
+        let found = check_each(complete_rejections(), |rejecting| {
+            let (answer, copies) = rejecting.exchange(&order(ID), ID, reuse);
             let is_served = answer.ends_with(ID) && copies.len() == 2;
             (!is_served).then(|| format!("{answer:?}, copies at {copies:?}"))
         });
@@ -243,7 +261,7 @@
 
 #[test]
 fn safe_request_whose_rejection_is_cut_is_served_elsewhere() {
-    let found = play_each(cut_rejections(), |rejecting| {
+    let found = check_each(truncated_rejections(), |rejecting| {
         let (answer, copies) = rejecting.exchange(&look(ID), ID, false);
         (!answer.ends_with(ID)).then(|| format!("{answer:?}, copies at {copies:?}"))
     });
@@ -252,8 +270,9 @@
 
 #[test]
 fn keyed_request_whose_rejection_is_no_proof_stays_in_its_zone() {
-    let forms = [cut_rejections(), ambiguous_rejections()].into_iter().flatten().collect();
-    let found = play_each(forms, |rejecting| {
+    let responses =
+        [truncated_rejections(), ambiguous_rejections()].into_iter().flatten().collect();
+    let found = check_each(responses, |rejecting| {
         let (answer, copies) = rejecting.exchange(&keep(ID), ID, false);
         let first = copies.first().copied();
         let stays = first.is_some() && copies.iter().all(|&server| Some(server) == first);
@@ -262,7 +281,7 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// The client's own time runs out first, and it is told so in time.
+/// The server sends its rejection so slowly that the client's timeout ends first. The client gets its response in time.
 #[test]
 fn rest_of_a_rejection_is_not_waited_for_beyond_the_time_of_its_request() {
     let server = Server::start(|_, socket| {
@@ -313,7 +332,7 @@
     assert_eq!(server.seen().len(), 1);
 }
 
-/// The copy arrives while the request that follows on the connection is executed.
+/// The copy arrives while the server executes the next request on the connection.
 #[test]
 fn second_copy_of_a_rejection_is_not_taken_for_the_next_answer() {
     let server = Server::start(|id, socket| {
@@ -321,12 +340,12 @@
             let rejection = format!("{REJECTED}Content-Length: 0\r\n\r\n");
             let (mut late, copy) = (socket.try_clone().expect("a handle"), rejection.clone());
             thread::spawn(move || {
-                thread::sleep(LATE_COPY);
+                thread::sleep(COPY_DELAY);
                 let _ = late.write_all(copy.as_bytes());
             });
             return socket.write_all(rejection.as_bytes()).is_ok();
         }
-        thread::sleep(5 * LATE_COPY);
+        thread::sleep(5 * COPY_DELAY);
         socket.write_all(answer(id).as_bytes()).is_ok()
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
@@ -342,9 +361,10 @@
     assert!(followed > 0, "no order followed a rejection");
 }
 
-/// A server that answers `text` as soon as it has the head of a request, and reads on; how many bytes of each
-/// body it received, by the order of the requests.
-fn early_server(text: String) -> (Server, Arc<Mutex<Vec<usize>>>) {
+/// Starts a server that responds with `text` as soon as it has the head of a request, and then reads the body.
+///
+/// Also returns the number of bytes received of each body, in the order of the requests.
+fn early_responding_server(text: String) -> (Server, Arc<Mutex<Vec<usize>>>) {
     let received: Arc<Mutex<Vec<usize>>> = Arc::default();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut server = Server::echo();
@@ -368,11 +388,13 @@
     (server, received)
 }
 
-/// The server's rejection is cut: only a last byte that was not sent is a proof.
+/// The server's rejection is truncated, so it proves nothing. The request may be rejected only if its last byte was not
+/// sent.
 #[test]
 fn upload_is_not_rejected_once_its_last_byte_has_gone_out() {
     const LENGTH: usize = 100 << 10;
-    let (server, received) = early_server(format!("{REJECTED}Content-Length: 20\r\n\r\nab"));
+    let (server, received) =
+        early_responding_server(format!("{REJECTED}Content-Length: 20\r\n\r\nab"));
     let sidecar = Sidecar::start(discovery(&[&server]));
     let length = format!("Content-Length: {LENGTH}\r\n\r\n");
     let mut rejected = 0;
@@ -381,14 +403,17 @@
         let mut client = sidecar.connect();
         client.write_all(head.as_bytes()).expect("sent");
         client.write_all(&vec![b'x'; LENGTH - 1]).expect("sent");
-        // The last byte goes out about as the server's answer arrives.
+        // The last byte is sent at about the time at which the server's response arrives.
         thread::sleep(Duration::from_micros(150 * n));
         let _ = client.write_all(b"x");
         let answer = first_answer(client);
         until("the attempt ends", || received.lock().expect("no panic").len() > n as usize);
         let body = received.lock().expect("no panic")[n as usize];
         rejected += usize::from(is_rejected(&answer));
-        assert!(body < LENGTH || !is_rejected(&answer), "{n}: all of it arrived, and {answer:?}");
+        assert!(
+            body < LENGTH || !is_rejected(&answer),
+            "{n}: the whole body arrived, and {answer:?}"
+        );
     }
     assert!(rejected > 0, "none was rejected before its last byte");
 }
--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -1,5 +1,5 @@
-//! Servers that write an answer twice on a connection that may be used again: nothing but its place tells whose
-//! answer it is.
+//! Servers that send a response twice on a reusable connection. HTTP/1.1 matches responses to requests by order alone,
+//! so the duplicate must not be taken for the response to the next request.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -17,76 +17,83 @@
 
 const SERVERS: usize = 6;
 const CLIENTS: usize = 8;
-/// How long a client pauses between two requests.
+/// The pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(45);
-/// For how long requests are sent, and as long again as second answers take.
-const PLAY_TIME: Duration = Duration::from_millis(2500);
-/// What stands ahead of the request's id in an answer that is too long to be kept in memory, in bytes.
+/// How long requests are sent, in addition to the delay of the duplicates.
+const TRAFFIC_TIME: Duration = Duration::from_millis(2500);
+/// The number of bytes ahead of the request's id in a response that is too long to be buffered.
 const LONG_BYTES: usize = 100 << 10;
-/// One in so many requests is rejected without being executed.
+/// One in this number of requests is rejected without being executed.
 const REJECTED_ONE_IN: usize = 4;
-const PLAYS_AT_ONCE: usize = 5;
+/// The number of faults that are tested at the same time.
+const CONCURRENT_RUNS: usize = 5;
 
-/// What the second answer looks like.
+/// The form of a duplicate response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Second {
+enum Duplicate {
+    /// An identical copy.
     Same,
-    /// With another load report, and so of another length.
+    /// A copy with another load report, and therefore of another length.
     OtherReport,
-    /// With an interim response ahead.
-    BehindInterim,
-    /// A body of which the end is missing.
-    Cut,
-    /// The connection is closed behind it.
+    /// A copy after an interim response.
+    AfterInterim,
+    /// A copy with a truncated body.
+    Truncated,
+    /// A copy after which the connection is closed.
     ThenClose,
-    /// Whole, with a body that no answer has had before.
+    /// A complete response with a body that no other response has had.
     OtherBody,
-    /// A copy, of an answer that is forwarded while it is received.
+    /// A copy of a response that is streamed.
     Long,
 }
 
-const FORMS: [Second; 5] =
-    [Second::Same, Second::OtherReport, Second::BehindInterim, Second::Cut, Second::ThenClose];
+const DUPLICATE_FORMS: [Duplicate; 5] = [
+    Duplicate::Same,
+    Duplicate::OtherReport,
+    Duplicate::AfterInterim,
+    Duplicate::Truncated,
+    Duplicate::ThenClose,
+];
 
-/// When the second answer is written.
+/// The time at which a duplicate is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum When {
-    /// So many milliseconds after the first.
+enum DuplicateTime {
+    /// The number of milliseconds after the first response.
     Later(u64),
-    /// As the next request on the connection has arrived.
+    /// When the next request on the connection arrives.
     NextRequest,
 }
 
-impl When {
-    /// The longest time after the first answer that is known beforehand.
+impl DuplicateTime {
+    /// Returns the delay after the first response, or zero if it depends on the next request.
     fn delay(self) -> Duration {
         match self {
-            When::Later(ms) => Duration::from_millis(ms),
-            When::NextRequest => Duration::ZERO,
+            DuplicateTime::Later(ms) => Duration::from_millis(ms),
+            DuplicateTime::NextRequest => Duration::ZERO,
         }
     }
 }
 
-/// What the servers of a play do.
+/// The fault of the servers in one run.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
-    second: Second,
-    when: When,
-    /// One in so many answers is written twice; 0: none.
+    second: Duplicate,
+    when: DuplicateTime,
+    /// One in this number of responses is duplicated, or none if it is 0.
     one_in: usize,
 }
 
-/// The executions of each request, by the index of the server.
+/// By request id, the indices of the servers that executed the request.
 type Executions = Arc<Mutex<HashMap<String, Vec<usize>>>>;
 
-/// What a server has for the answer to one request.
+/// The response to one request and its duplicate.
 struct Answers {
     first: String,
     second: String,
 }
 
 impl Answers {
-    fn new(id: &str, is_rejected: bool, second: Second) -> Answers {
+    fn new(id: &str, is_rejected: bool, second: Duplicate) -> Answers {
         let text = |load: &str| match is_rejected {
             true => format!(
                 "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: {load}\r\n\
@@ -95,26 +102,26 @@
             false => answer_with(id, load),
         };
         let first = match second {
-            Second::Long if !is_rejected => chunked_answer(&format!("{}\r\n\r\n{id}", filler())),
+            Duplicate::Long if !is_rejected => chunked_answer(&format!("{}\r\n\r\n{id}", filler())),
             _ => text("queue=0,inflight=1"),
         };
         let second = match second {
-            Second::Same | Second::ThenClose | Second::Long => first.clone(),
-            Second::OtherReport => text("queue=12,inflight=10"),
-            Second::BehindInterim => format!("HTTP/1.1 103 Early Hints\r\n\r\n{first}"),
-            Second::Cut => first[..first.len() - 2].to_owned(),
-            Second::OtherBody => answer(&format!("{id} again")),
+            Duplicate::Same | Duplicate::ThenClose | Duplicate::Long => first.clone(),
+            Duplicate::OtherReport => text("queue=12,inflight=10"),
+            Duplicate::AfterInterim => format!("HTTP/1.1 103 Early Hints\r\n\r\n{first}"),
+            Duplicate::Truncated => first[..first.len() - 2].to_owned(),
+            Duplicate::OtherBody => answer(&format!("{id} again")),
         };
         Answers { first, second }
     }
 }
 
-/// What makes an answer too long to be kept in memory.
+/// Returns a text that makes a response too long to be buffered.
 fn filler() -> String {
     "x".repeat(LONG_BYTES)
 }
 
-/// An answer in chunks, whose length is not known before its end.
+/// Returns a response with chunked encoding.
 fn chunked_answer(body: &str) -> String {
     let chunks = encode_chunked(body.as_bytes(), LONG_BYTES);
     format!(
@@ -123,34 +130,34 @@
     )
 }
 
-/// A server that works for 3 to 12 ms and answers with the id of the request.
-struct AnsweringTwice {
+/// A server that works for 3 to 12 ms per request, responds with the id of the request, and duplicates some responses.
+struct DuplicatingServer {
     index: usize,
     fault: Fault,
     executions: Executions,
     requests: AtomicUsize,
-    /// Second answers that wait for the next request of their connection.
+    /// Duplicates to be written when the next request on their connection arrives, by the address of the peer.
     waiting: Mutex<HashMap<SocketAddr, String>>,
 }
 
-impl AnsweringTwice {
+impl DuplicatingServer {
     fn start(index: usize, fault: Fault, executions: Executions) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let at = listener.local_addr().expect("an address");
         let requests = AtomicUsize::new(index);
         let waiting = Mutex::default();
-        let server = AnsweringTwice { index, fault, executions, requests, waiting };
+        let server = DuplicatingServer { index, fault, executions, requests, waiting };
         serve(listener, move |head, socket| server.handle(head, socket));
         at
     }
 
-    /// Whether the connection stays open.
+    /// Handles a request. Returns whether the connection stays open.
     fn handle(&self, head: &str, socket: &mut TcpStream) -> bool {
         let peer = socket.peer_addr().ok();
         let waiting = peer.and_then(|peer| lock(&self.waiting).remove(&peer));
         if let Some(second) = waiting
             && (socket.write_all(second.as_bytes()).is_err()
-                || self.fault.second == Second::ThenClose)
+                || self.fault.second == Duplicate::ThenClose)
         {
             return false;
         }
@@ -169,24 +176,24 @@
             return false;
         }
         if self.fault.one_in > 0 && (number / REJECTED_ONE_IN).is_multiple_of(self.fault.one_in) {
-            self.plan_second(socket, peer, answers.second);
+            self.schedule_duplicate(socket, peer, answers.second);
         }
         true
     }
 
-    fn plan_second(&self, socket: &TcpStream, peer: Option<SocketAddr>, second: String) {
+    fn schedule_duplicate(&self, socket: &TcpStream, peer: Option<SocketAddr>, second: String) {
         match (self.fault.when, peer) {
-            (When::NextRequest, Some(peer)) => {
+            (DuplicateTime::NextRequest, Some(peer)) => {
                 lock(&self.waiting).insert(peer, second);
             }
-            (When::NextRequest, None) => {}
-            (When::Later(ms), _) => {
+            (DuplicateTime::NextRequest, None) => {}
+            (DuplicateTime::Later(ms), _) => {
                 let Ok(mut socket) = socket.try_clone() else { return };
-                let closes = self.fault.second == Second::ThenClose;
+                let closes_connection = self.fault.second == Duplicate::ThenClose;
                 thread::spawn(move || {
                     thread::sleep(Duration::from_millis(ms));
                     let _ = socket.write_all(second.as_bytes());
-                    if closes {
+                    if closes_connection {
                         let _ = socket.shutdown(std::net::Shutdown::Both);
                     }
                 });
@@ -199,7 +206,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How a class of requests may be sent again.
+/// A class of requests: safe, with an idempotency key, or unsafe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
     Look,
@@ -217,21 +224,21 @@
     }
 }
 
-/// A request and the answer that its client got.
+/// A request and the response that its client got.
 struct Exchanged {
     class: Class,
     id: String,
     answer: String,
 }
 
-/// What one play came to.
+/// The results of one run.
 #[derive(Debug, Default)]
 struct Findings {
     requests: usize,
     served: usize,
-    /// Requests that got the answer to another, or a part of one.
-    foreign: Vec<String>,
-    /// Requests that ran where they must not have.
+    /// Requests that got the response to another request, or a part of one.
+    mismatched: Vec<String>,
+    /// Requests that were executed more often or elsewhere than their class allows.
     repeated: Vec<String>,
 }
 
@@ -242,7 +249,7 @@
         if answer.starts_with("HTTP/1.1 200") {
             self.served += 1;
             if !answer.ends_with(&format!("\r\n\r\n{id}")) {
-                self.foreign.push(format!("{id}: {answer:?}"));
+                self.mismatched.push(format!("{id}: {answer:?}"));
             }
         }
         let refused = is_rejected(answer);
@@ -259,15 +266,15 @@
     }
 }
 
-/// Sends a third each of safe, keyed and unsafe requests through one sidecar.
-fn play(fault: Fault) -> Findings {
+/// Sends safe, keyed and unsafe requests, a third each, through one sidecar.
+fn run_traffic(fault: Fault) -> Findings {
     let executions = Executions::default();
     let entries = (0..SERVERS).map(|index| {
-        let at = AnsweringTwice::start(index, fault, executions.clone());
+        let at = DuplicatingServer::start(index, fault, executions.clone());
         Entry::new(at, if index % 2 == 0 { "a" } else { "b" })
     });
     let sidecar = Sidecar::start(Registry::start(entries.collect()));
-    let end = Instant::now() + PLAY_TIME + fault.when.delay();
+    let end = Instant::now() + TRAFFIC_TIME + fault.when.delay();
     let client = |number: usize| {
         let mut exchanged = Vec::new();
         while Instant::now() < end {
@@ -293,25 +300,27 @@
     findings
 }
 
-/// Plays all faults, some at a time, and asserts that no rule is broken and most requests are served.
-fn check(faults: &[Fault]) {
+/// Runs traffic with each fault and asserts that no rule is violated and at least half of the requests are served.
+fn assert_no_rule_violated(faults: &[Fault]) {
     let mut broken = Vec::new();
-    for faults in faults.chunks(PLAYS_AT_ONCE) {
-        let played: Vec<_> = thread::scope(|scope| {
-            let plays: Vec<_> =
-                faults.iter().map(|&fault| scope.spawn(move || (fault, play(fault)))).collect();
-            plays.into_iter().map(|play| play.join().expect("no panic")).collect()
+    for faults in faults.chunks(CONCURRENT_RUNS) {
+        let results: Vec<_> = thread::scope(|scope| {
+            let runs: Vec<_> = faults
+                .iter()
+                .map(|&fault| scope.spawn(move || (fault, run_traffic(fault))))
+                .collect();
+            runs.into_iter().map(|run| run.join().expect("no panic")).collect()
         });
-        for (fault, findings) in played {
+        for (fault, findings) in results {
             eprintln!(
-                "{fault:?}: {} requests, {} served, {} foreign, {} repeated",
+                "{fault:?}: {} requests, {} served, {} mismatched, {} repeated",
                 findings.requests,
                 findings.served,
-                findings.foreign.len(),
+                findings.mismatched.len(),
                 findings.repeated.len()
             );
-            let is_sound = findings.foreign.is_empty() && findings.repeated.is_empty();
-            if !is_sound || 2 * findings.served < findings.requests {
+            let is_valid = findings.mismatched.is_empty() && findings.repeated.is_empty();
+            if !is_valid || 2 * findings.served < findings.requests {
                 broken.push((fault, findings));
             }
         }
@@ -319,64 +328,69 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-fn later(second: Second, ms: u64, one_in: usize) -> Fault {
-    Fault { second, when: When::Later(ms), one_in }
+fn delayed(second: Duplicate, ms: u64, one_in: usize) -> Fault {
+    Fault { second, when: DuplicateTime::Later(ms), one_in }
 }
 
 #[test]
 fn second_answer_some_milliseconds_later_answers_no_other_request() {
     let delays = [2, 8, 12, 25];
     let faults: Vec<_> =
-        FORMS.iter().flat_map(|&form| delays.map(|ms| later(form, ms, 2))).collect();
-    check(&faults);
+        DUPLICATE_FORMS.iter().flat_map(|&form| delays.map(|ms| delayed(form, ms, 2))).collect();
+    assert_no_rule_violated(&faults);
 }
 
 #[test]
 fn second_answer_long_after_the_first_answers_no_other_request() {
     let delays = [40, 60, 250];
     let faults: Vec<_> =
-        FORMS.iter().flat_map(|&form| delays.map(|ms| later(form, ms, 2))).collect();
-    check(&faults);
+        DUPLICATE_FORMS.iter().flat_map(|&form| delays.map(|ms| delayed(form, ms, 2))).collect();
+    assert_no_rule_violated(&faults);
 }
 
-/// By then its connection has carried many others.
+/// The connection has carried many other requests by the time of the duplicate.
 #[test]
 fn second_answer_a_second_or_more_after_the_first_answers_no_other_request() {
-    check(&[700, 1000, 1500, 2000].map(|ms| later(Second::Same, ms, 2)));
+    assert_no_rule_violated(&[700, 1000, 1500, 2000].map(|ms| delayed(Duplicate::Same, ms, 2)));
 }
 
 #[test]
 fn second_copy_of_a_long_answer_answers_no_other_request() {
-    let mut faults = [12, 40, 60, 250].map(|ms| later(Second::Long, ms, 2)).to_vec();
-    faults.push(Fault { second: Second::Long, when: When::NextRequest, one_in: 2 });
-    check(&faults);
+    let mut faults = [12, 40, 60, 250].map(|ms| delayed(Duplicate::Long, ms, 2)).to_vec();
+    faults.push(Fault { second: Duplicate::Long, when: DuplicateTime::NextRequest, one_in: 2 });
+    assert_no_rule_violated(&faults);
 }
 
 #[test]
 fn rare_second_answer_answers_no_other_request() {
-    check(&[6, 12, 25, 60, 250].map(|ms| later(Second::Same, ms, 10)));
+    assert_no_rule_violated(&[6, 12, 25, 60, 250].map(|ms| delayed(Duplicate::Same, ms, 10)));
 }
 
 #[test]
 fn second_answer_as_the_next_request_arrives_does_not_answer_it() {
-    let next = |second| Fault { second, when: When::NextRequest, one_in: 2 };
-    check(&FORMS.map(next));
+    let next = |second| Fault { second, when: DuplicateTime::NextRequest, one_in: 2 };
+    assert_no_rule_violated(&DUPLICATE_FORMS.map(next));
 }
 
-/// A body that was made anew: neither its bytes nor, some way into the request's time, its moment tell it apart.
+/// A duplicate with a new body: its content does not give it away, and neither does its timing if it arrives well after
+/// the start of the next request.
 #[test]
 fn second_answer_with_another_body_answers_no_other_request() {
-    let mut faults = [12, 25, 40, 60, 250].map(|ms| later(Second::OtherBody, ms, 2)).to_vec();
-    faults.push(Fault { second: Second::OtherBody, when: When::NextRequest, one_in: 2 });
-    check(&faults);
+    let mut faults = [12, 25, 40, 60, 250].map(|ms| delayed(Duplicate::OtherBody, ms, 2)).to_vec();
+    faults.push(Fault {
+        second: Duplicate::OtherBody,
+        when: DuplicateTime::NextRequest,
+        one_in: 2,
+    });
+    assert_no_rule_violated(&faults);
 }
 
 #[test]
 fn servers_that_answer_once_serve_most_requests() {
-    check(&[later(Second::Same, 0, 0)]);
+    assert_no_rule_violated(&[delayed(Duplicate::Same, 0, 0)]);
 }
 
-/// The second answer and the next request arrive while the sidecar is held up.
+/// The duplicate and the next request arrive during a hold-up of the sidecar.
 #[test]
 fn second_answer_that_arrived_in_a_hold_up_does_not_answer_the_next_request() {
     let server = Server::start(|id, socket| {
@@ -404,7 +418,7 @@
     }
 }
 
-/// The client goes on with the connection on which its request failed.
+/// The client reuses the connection on which its request failed, and the late response must not be sent on it.
 #[test]
 fn answer_to_a_request_that_was_given_up_is_sent_to_nobody() {
     const SERVER_TIME: Duration = Duration::from_millis(300);
@@ -435,7 +449,7 @@
     }
 }
 
-/// Equal bodies are a sign of a second answer only until a check has shown otherwise.
+/// An equal body is a sign of a desync only until a sync check has shown a false alarm.
 #[test]
 fn servers_whose_answers_have_equal_bodies_serve_each_request_once() {
     let server = Server::start(|_, socket| socket.write_all(answer("done").as_bytes()).is_ok());
@@ -445,14 +459,14 @@
     for (n, class) in &requests {
         let answer = sidecar.exchange(&class.request(&format!("{n}")));
         assert!(answer.ends_with("\r\n\r\ndone"), "{class:?}: {answer:?}");
-        // The connection has rested, and is used again.
+        // The quiet period is over, so the connection is reused.
         thread::sleep(HOLD_UP / 2);
     }
     assert_eq!(server.seen().len(), requests.len());
     assert!(!sidecar.log().contains("server sent unexpected bytes"));
 }
 
-/// The second keyed request gets the answer to the first, and is sent again: its server may have run it.
+/// The second keyed request gets a copy of the first response and is sent again. Its server may have executed it.
 #[test]
 fn resend_of_a_keyed_request_is_logged_with_its_attempt_and_reason() {
     let waiting = Mutex::new(None);
@@ -479,7 +493,7 @@
     assert!(has(&["server sent unexpected bytes"]), "{log}");
 }
 
-/// The message that would show the connection synchronized proves nothing there.
+/// The servers also serve the probe of a sync check, so it cannot show that the connection is in sync.
 #[test]
 fn rejected_order_at_a_server_that_serves_messages_without_an_id_is_served_elsewhere() {
     let rejected = Arc::new(Mutex::new(Vec::<String>::new()));
@@ -494,7 +508,7 @@
                 lock(&rejected).push(id.clone());
             }
             let text = match is_first {
-                true => Answers::new(&id, true, Second::Same).first,
+                true => Answers::new(&id, true, Duplicate::Same).first,
                 false => answer(&id),
             };
             socket.write_all(text.as_bytes()).is_ok()
@@ -510,9 +524,9 @@
     assert!(answer.ends_with("order"), "{answer:?}");
 }
 
-/// A server that has this answer for the request `first`, and writes it once more well into the time of the request number
-/// `behind` on the same connection.
-fn answering_again(first: String, behind: usize) -> SocketAddr {
+/// Starts a server that sends `first` as the response to the request `first`, and again during request number `behind`
+/// on the same connection.
+fn server_repeating_first_answer(first: String, behind: usize) -> SocketAddr {
     const WORK: Duration = Duration::from_millis(5);
     const COPY_DELAY: Duration = Duration::from_millis(20);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -545,9 +559,9 @@
     at
 }
 
-/// Sends safe requests one after the other to such a server, and asserts that each gets its own answer.
+/// Sends safe requests one by one to such a server, and asserts that each gets its own response.
 fn assert_copy_answers_no_request(first: String, behind: usize) {
-    let server = Entry::new(answering_again(first, behind), "a");
+    let server = Entry::new(server_repeating_first_answer(first, behind), "a");
     let sidecar = Sidecar::start(Registry::start(vec![server]));
     sidecar.exchange(&look("first"));
     for n in 1..=behind {
@@ -572,7 +586,7 @@
     assert_copy_answers_no_request(answer("first"), 40);
 }
 
-/// The copy of an earlier rejection comes first, and the answer itself as the next request is under way.
+/// A request gets a copy of an earlier rejection first, and its own response while the next request is in progress.
 #[test]
 fn answer_that_comes_behind_the_copy_of_a_rejection_does_not_answer_the_next_request() {
     const COPY_DELAY: Duration = Duration::from_millis(20);
@@ -581,7 +595,7 @@
     let at = listener.local_addr().expect("an address");
     serve(listener, move |head, socket| {
         let id = request_id(head);
-        let rejection = Answers::new(&id, true, Second::Same).first;
+        let rejection = Answers::new(&id, true, Duplicate::Same).first;
         if id == "rejected" {
             return socket.write_all(rejection.as_bytes()).is_ok();
         }
@@ -603,7 +617,8 @@
     }
 }
 
-/// Its list arrives first: the connection to the server that drains is closed before anything is read from it.
+/// The endpoint list arrives before the duplicate, so the connection to the draining server is closed before the
+/// duplicate is read.
 #[test]
 fn second_answer_on_a_connection_that_is_just_being_closed_is_noticed() {
     let servers_side = Arc::new(Mutex::new(None));
--- a/tests/lifecycle/server_answers.rs
+++ b/tests/lifecycle/server_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of servers that arrive while the sidecar is held up.
+//! Responses of servers that arrive during a hold-up of the sidecar.
 
 use std::io::Write;
 use std::thread;
@@ -7,9 +7,10 @@
 use crate::net::*;
 use crate::support::*;
 
-/// How long the client waits.
+/// The client's timeout.
 const TIME_LEFT: Duration = Duration::from_millis(600);
 
+/// The response arrives in time, but the sidecar handles it only after the deadline of the request.
 #[test]
 fn answer_that_arrived_as_the_time_of_its_request_ran_out_is_passed_on() {
     let blocked = BlockedServer::new();
