--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -77,7 +77,7 @@
 /// The fault of the servers in one run.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
-    second: Duplicate,
+    duplicate: Duplicate,
     when: DuplicateTime,
     /// One in this number of responses is duplicated, or none if it is 0.
     one_in: usize,
@@ -88,12 +88,12 @@
 
 /// The response to one request and its duplicate.
 struct Answers {
-    first: String,
-    second: String,
+    original: String,
+    duplicate: String,
 }
 
 impl Answers {
-    fn new(id: &str, is_rejected: bool, second: Duplicate) -> Answers {
+    fn new(id: &str, is_rejected: bool, duplicate: Duplicate) -> Answers {
         let text = |load: &str| match is_rejected {
             true => format!(
                 "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: {load}\r\n\
@@ -101,18 +101,18 @@
             ),
             false => answer_with(id, load),
         };
-        let first = match second {
+        let original = match duplicate {
             Duplicate::Long if !is_rejected => chunked_answer(&format!("{}\r\n\r\n{id}", filler())),
             _ => text("queue=0,inflight=1"),
         };
-        let second = match second {
-            Duplicate::Same | Duplicate::ThenClose | Duplicate::Long => first.clone(),
+        let duplicate = match duplicate {
+            Duplicate::Same | Duplicate::ThenClose | Duplicate::Long => original.clone(),
             Duplicate::OtherReport => text("queue=12,inflight=10"),
-            Duplicate::AfterInterim => format!("HTTP/1.1 103 Early Hints\r\n\r\n{first}"),
-            Duplicate::Truncated => first[..first.len() - 2].to_owned(),
+            Duplicate::AfterInterim => format!("HTTP/1.1 103 Early Hints\r\n\r\n{original}"),
+            Duplicate::Truncated => original[..original.len() - 2].to_owned(),
             Duplicate::OtherBody => answer(&format!("{id} again")),
         };
-        Answers { first, second }
+        Answers { original, duplicate }
     }
 }
 
@@ -155,9 +155,9 @@
     fn handle(&self, head: &str, socket: &mut TcpStream) -> bool {
         let peer = socket.peer_addr().ok();
         let waiting = peer.and_then(|peer| lock(&self.waiting).remove(&peer));
-        if let Some(second) = waiting
-            && (socket.write_all(second.as_bytes()).is_err()
-                || self.fault.second == Duplicate::ThenClose)
+        if let Some(duplicate) = waiting
+            && (socket.write_all(duplicate.as_bytes()).is_err()
+                || self.fault.duplicate == Duplicate::ThenClose)
         {
             return false;
         }
@@ -171,28 +171,28 @@
             lock(&self.executions).entry(id.clone()).or_default().push(self.index);
             thread::sleep(Duration::from_millis(3 + (number as u64 * 7) % 10));
         }
-        let answers = Answers::new(&id, is_rejected, self.fault.second);
-        if socket.write_all(answers.first.as_bytes()).is_err() {
+        let answers = Answers::new(&id, is_rejected, self.fault.duplicate);
+        if socket.write_all(answers.original.as_bytes()).is_err() {
             return false;
         }
         if self.fault.one_in > 0 && (number / REJECTED_ONE_IN).is_multiple_of(self.fault.one_in) {
-            self.schedule_duplicate(socket, peer, answers.second);
+            self.schedule_duplicate(socket, peer, answers.duplicate);
         }
         true
     }
 
-    fn schedule_duplicate(&self, socket: &TcpStream, peer: Option<SocketAddr>, second: String) {
+    fn schedule_duplicate(&self, socket: &TcpStream, peer: Option<SocketAddr>, duplicate: String) {
         match (self.fault.when, peer) {
             (DuplicateTime::NextRequest, Some(peer)) => {
-                lock(&self.waiting).insert(peer, second);
+                lock(&self.waiting).insert(peer, duplicate);
             }
             (DuplicateTime::NextRequest, None) => {}
             (DuplicateTime::Later(ms), _) => {
                 let Ok(mut socket) = socket.try_clone() else { return };
-                let closes_connection = self.fault.second == Duplicate::ThenClose;
+                let closes_connection = self.fault.duplicate == Duplicate::ThenClose;
                 thread::spawn(move || {
                     thread::sleep(Duration::from_millis(ms));
-                    let _ = socket.write_all(second.as_bytes());
+                    let _ = socket.write_all(duplicate.as_bytes());
                     if closes_connection {
                         let _ = socket.shutdown(std::net::Shutdown::Both);
                     }
@@ -328,8 +328,8 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-fn delayed(second: Duplicate, ms: u64, one_in: usize) -> Fault {
-    Fault { second, when: DuplicateTime::Later(ms), one_in }
+fn delayed(duplicate: Duplicate, ms: u64, one_in: usize) -> Fault {
+    Fault { duplicate, when: DuplicateTime::Later(ms), one_in }
 }
 
 #[test]
@@ -357,7 +357,7 @@
 #[test]
 fn second_copy_of_a_long_answer_answers_no_other_request() {
     let mut faults = [12, 40, 60, 250].map(|ms| delayed(Duplicate::Long, ms, 2)).to_vec();
-    faults.push(Fault { second: Duplicate::Long, when: DuplicateTime::NextRequest, one_in: 2 });
+    faults.push(Fault { duplicate: Duplicate::Long, when: DuplicateTime::NextRequest, one_in: 2 });
     assert_no_rule_violated(&faults);
 }
 
@@ -368,7 +368,7 @@
 
 #[test]
 fn second_answer_as_the_next_request_arrives_does_not_answer_it() {
-    let next = |second| Fault { second, when: DuplicateTime::NextRequest, one_in: 2 };
+    let next = |duplicate| Fault { duplicate, when: DuplicateTime::NextRequest, one_in: 2 };
     assert_no_rule_violated(&DUPLICATE_FORMS.map(next));
 }
 
@@ -378,7 +378,7 @@
 fn second_answer_with_another_body_answers_no_other_request() {
     let mut faults = [12, 25, 40, 60, 250].map(|ms| delayed(Duplicate::OtherBody, ms, 2)).to_vec();
     faults.push(Fault {
-        second: Duplicate::OtherBody,
+        duplicate: Duplicate::OtherBody,
         when: DuplicateTime::NextRequest,
         one_in: 2,
     });
@@ -508,7 +508,7 @@
                 lock(&rejected).push(id.clone());
             }
             let text = match is_first {
-                true => Answers::new(&id, true, Duplicate::Same).first,
+                true => Answers::new(&id, true, Duplicate::Same).original,
                 false => answer(&id),
             };
             socket.write_all(text.as_bytes()).is_ok()
@@ -595,7 +595,7 @@
     let at = listener.local_addr().expect("an address");
     serve(listener, move |head, socket| {
         let id = request_id(head);
-        let rejection = Answers::new(&id, true, Duplicate::Same).first;
+        let rejection = Answers::new(&id, true, Duplicate::Same).original;
         if id == "rejected" {
             return socket.write_all(rejection.as_bytes()).is_ok();
         }
