--- a/src/sidecar/driver/in_flight.rs
+++ b/src/sidecar/driver/in_flight.rs
@@ -16,7 +16,7 @@
     Served(UpstreamResponse),
     /// The request was not executed, or may be repeated safely. The client may send it again.
     Rejected {
-        /// How long the client is asked to wait before it does, or `None` if it is not asked.
+        /// The delay that the client is asked for before it sends the request again, or `None` for no delay.
         retry_after: Option<Duration>,
     },
     /// The request failed, and may have been executed.
--- a/src/sidecar/driver/mod.rs
+++ b/src/sidecar/driver/mod.rs
@@ -80,9 +80,9 @@
     discovery: mpsc::UnboundedSender<DiscoveryRequest>,
     peer_services: PeerServices<P>,
     health_check: HealthCheckKind,
-    /// By class, how long servers deduplicate requests with idempotency keys; `None` for a class without them.
+    /// By class, the time for which servers deduplicate requests with idempotency keys; `None` for classes without them.
     idempotency_windows: Vec<Option<Duration>>,
-    /// By class, whether every server recognizes the repeat of a request that another server got.
+    /// By class, whether every server recognizes repeats of requests that other servers have received.
     deduplicated_everywhere: Vec<bool>,
 }
 
--- a/src/sidecar/driver/requests.rs
+++ b/src/sidecar/driver/requests.rs
@@ -51,7 +51,7 @@
     pub tenant: usize,
     /// The affinity key, or 0 without one.
     pub affinity_key: u64,
-    /// How long the client waits for the response.
+    /// The time for which the client waits for the response.
     pub time_left: Duration,
     /// The client's estimate of the work, or `None` without one.
     pub work_hint: Option<Micros>,
--- a/src/sidecar/framing.rs
+++ b/src/sidecar/framing.rs
@@ -64,10 +64,10 @@
     }
 }
 
-/// What the head of a response says about whether the request was processed.
+/// The statement in the head of a response about whether the request was processed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unprocessed {
-    /// It says nothing.
+    /// No statement.
     #[default]
     Unsaid,
     /// The request was not processed.
@@ -94,7 +94,7 @@
 /// The element that comes next in a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
-    /// A digit of the chunk size, or what ends the size.
+    /// A digit of the chunk size, or the character after its last digit.
     Size { size: u64, digits: u8 },
     /// A chunk extension, up to the end of its line.
     Extension { size: u64 },
@@ -190,7 +190,7 @@
         has_head.then_some(self.status)
     }
 
-    /// Returns what the head of a response says about whether the request was processed.
+    /// Returns the statement in the head of a response about whether the request was processed.
     pub fn unprocessed(&self) -> Unprocessed {
         self.unprocessed
     }
--- a/src/sidecar/upload.rs
+++ b/src/sidecar/upload.rs
@@ -29,11 +29,11 @@
 
 /// A streamed request body, shared by the attempts of the request.
 pub struct Upload {
-    /// How long the client waits for the response, from the last byte of the body on.
+    /// The time for which the client waits for the response, from the last byte of the body on.
     pub response_timeout: Duration,
     /// The length in bytes, or `None` if the head of the request does not give it.
     pub length: Option<u64>,
-    /// When the sidecar received the last byte, if that is detected before an attempt reads it.
+    /// The time at which the sidecar received the last byte, if that is detected before an attempt reads it.
     received_at: Rc<Cell<Option<Instant>>>,
     prefix: RefCell<Bytes>,
     source: RefCell<BoxedBody>,
--- a/src/sidecar/upstream/attempt_result.rs
+++ b/src/sidecar/upstream/attempt_result.rs
@@ -29,7 +29,7 @@
     pub report: LoadReport,
     /// The response, or `None` if the request was not served.
     pub response: Option<UpstreamResponse>,
-    /// What was sent and received on the connections of the attempt, or `None` if it was cancelled or timed out.
+    /// Facts about the bytes sent and received, or `None` if the attempt was cancelled or timed out.
     pub facts: Option<ExecutionFacts>,
     /// The last connection of the attempt, or `None` if it had none, was cancelled or timed out.
     pub connection_use: Option<ConnectionUse>,
--- a/src/sidecar/upstream/connection.rs
+++ b/src/sidecar/upstream/connection.rs
@@ -39,7 +39,7 @@
     pub connection: u64,
     /// Number of requests that the connection had carried before.
     pub earlier_requests: u32,
-    /// How long the connection had been idle.
+    /// The time that the connection had been idle.
     pub idle: Duration,
     /// Time from the last byte of the request to the start of the response, or `None` without a response.
     pub response_delay: Option<Duration>,
@@ -65,7 +65,7 @@
     number: u64,
     /// Number of completed requests on the connection.
     earlier_requests: u32,
-    /// When the connection last became idle, or was established.
+    /// The time at which the connection last became idle, or was established.
     pub(super) idle_since: Instant,
     /// Time from the last request to the start of its response, if the response had status 200.
     last_response_delay: Option<Duration>,
--- a/src/sidecar/upstream/exchange.rs
+++ b/src/sidecar/upstream/exchange.rs
@@ -30,7 +30,7 @@
 /// Log message for a request that is sent again within the same attempt.
 const RESEND_MESSAGE: &str = "request sent again on a new connection";
 
-/// Why a request is sent again on a new connection within the same attempt.
+/// The reason for sending a request again on a new connection within the same attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResendReason {
     /// The connection was closed before the request was sent in full.
--- a/src/sidecar/upstream/mod.rs
+++ b/src/sidecar/upstream/mod.rs
@@ -45,7 +45,7 @@
 
 /// The pool of connections to servers.
 pub struct Upstream<P: Runtime> {
-    /// Idle connections by server, in the order in which they became idle.
+    /// Idle connections by server, in the order in which they were returned to the pool.
     idle: RefCell<FxHashMap<ServerId, Vec<Connection<P>>>>,
     /// Response history by server, used to detect desyncs.
     histories: RefCell<FxHashMap<ServerId, Rc<ResponseHistory>>>,
--- a/src/sidecar/upstream/observer.rs
+++ b/src/sidecar/upstream/observer.rs
@@ -23,7 +23,7 @@
 /// The length in bytes of the sequence that ends a head: CR LF CR LF.
 const HEAD_TERMINATOR_LENGTH: usize = 4;
 
-/// How much of a request has been written.
+/// The progress of writing a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum RequestPhase {
     /// There was no request yet.
@@ -44,7 +44,7 @@
     in_head: Cell<bool>,
     /// Number of bytes of the body still to be written.
     body_left: Cell<u64>,
-    /// When the last byte was written, or `None` before.
+    /// The time at which the last byte was written, or `None` before.
     completed_at: Cell<Option<Instant>>,
 }
 
@@ -117,9 +117,9 @@
     history: Rc<ResponseHistory>,
     request: RequestProgress,
     response: RefCell<Framing>,
-    /// When the first bytes of the final response arrived, or `None` before.
+    /// The time at which the first bytes of the final response arrived, or `None` before.
     response_began_at: Cell<Option<Instant>>,
-    /// When bytes of the final response last arrived, or `None` before the first.
+    /// The time at which bytes of the final response last arrived, or `None` before the first.
     response_active_at: Cell<Option<Instant>>,
     response_began: Notify,
     /// Whether bytes arrived that belong to no response. The connection cannot be reused then.
--- a/src/sidecar/upstream/pool.rs
+++ b/src/sidecar/upstream/pool.rs
@@ -14,11 +14,11 @@
 use crate::api::ServerId;
 use crate::sidecar::budget::SocketPermit;
 
-/// How often expired idle connections are closed.
+/// The interval at which expired idle connections are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a further idle connection is closed while an attempt waits for a socket permit.
+/// The interval at which further idle connections are closed while an attempt waits for a socket permit.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// How long an idle connection may take to become ready for the next request.
+/// The maximum time for an idle connection to become ready for the next request after its last response.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<P: Runtime> Upstream<P> {
--- a/src/sidecar/upstream/request.rs
+++ b/src/sidecar/upstream/request.rs
@@ -106,7 +106,7 @@
     ///
     /// After that time servers may have forgotten an earlier attempt, and the request could be executed twice.
     pub start_by: Option<Instant>,
-    /// How long servers deduplicate repeats of the request, or `None` if they do not.
+    /// The time for which servers deduplicate repeats of the request, or `None` if they do not.
     pub idempotency_window: Option<Duration>,
     /// The time at which the attempt times out.
     pub deadline: Instant,
--- a/src/sidecar/upstream/response.rs
+++ b/src/sidecar/upstream/response.rs
@@ -23,8 +23,8 @@
 };
 use crate::sidecar::framing::UNPROCESSED_HEADER;
 
-/// How long the first bytes of a streamed response are held back before they are forwarded. If the response fails
-/// within this time, the request can still be sent to another server.
+/// The time for which the first bytes of a streamed response are held back before they are forwarded. If the response
+/// fails within this time, the request can still be sent to another server.
 const EARLY_FAILURE_WAIT: Duration = Duration::from_millis(10);
 
 /// The header with which a server reports its load.
--- a/src/sidecar/upstream/sync_check.rs
+++ b/src/sidecar/upstream/sync_check.rs
@@ -21,7 +21,7 @@
 
 /// The path of the probe. Requests of clients always have an id.
 const PROBE_PATH: &str = "/health/sync";
-/// How long to wait for the response to the probe. The client waits during this time, and its request may still fail.
+/// The timeout of a probe. It is short because the client waits meanwhile, and its request may still fail.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl<P: Runtime> Upstream<P> {
--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -19,7 +19,7 @@
 const CLIENTS: usize = 8;
 /// The pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(45);
-/// How long requests are sent, in addition to the delay of the duplicates.
+/// The time for which requests are sent, in addition to the delay of the duplicates.
 const TRAFFIC_TIME: Duration = Duration::from_millis(2500);
 /// The number of bytes ahead of the request's id in a response that is too long to be buffered.
 const LONG_BYTES: usize = 100 << 10;
@@ -60,7 +60,7 @@
 enum DuplicateTime {
     /// The number of milliseconds after the first response.
     Later(u64),
-    /// When the next request on the connection arrives.
+    /// At the arrival of the next request on the connection.
     NextRequest,
 }
 
