--- a/src/sidecar/discovery/client.rs
+++ b/src/sidecar/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Single calls to the discovery service.
+//! Sends single HTTP requests to the discovery service.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 
 use super::list_buffer::{BufferError, ListBuffer, ListMemory};
 use super::progress::Progress;
-use crate::sidecar::discovery_status::CallEnd;
+use crate::sidecar::discovery_status::CallOutcome;
 use crate::sidecar::system_error::is_shortage;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -17,30 +17,30 @@
 use hyper_util::rt::TokioIo;
 use runtime::{Elapsed, Runtime, Stream, TaskHandle, Tcp, timeout, timeout_at};
 
-/// How long a connection to discovery may take to come up.
+/// Timeout for establishing a connection to the discovery service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest time between two pieces of a response.
+/// Timeout between two parts of a response body.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// The longest time from the head of a response to its end.
+/// Timeout from the head of a response to its end.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call brought no list.
+/// The reason why a call returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallError {
-    /// It was refused, reset, or answered with something that is not a list.
+    /// The call was refused or reset, or its response is not a list.
     #[error("the call was refused or reset, or its response is not a list")]
     Broken,
-    /// Nothing arrived in time, or no more.
+    /// The response did not begin, or did not continue, in time.
     #[error("the response did not arrive in time")]
     TimedOut,
-    /// The list has at least so many bytes, which is more than may be read.
-    #[error("the list has at least {0} bytes, more than may be read")]
+    /// The list has at least this many bytes, which exceeds the limit.
+    #[error("the list has at least {0} bytes, which exceeds the limit")]
     TooLong(u64),
-    /// There was no file descriptor or memory for its connection.
-    #[error("no file descriptor or memory for the connection")]
+    /// No file descriptor or memory was available for the connection.
+    #[error("no file descriptor or memory available for the connection")]
     Shortage,
-    /// The responses of other calls take the memory for lists.
-    #[error("the responses of other calls take the memory for lists")]
+    /// The responses of other calls use up the memory for lists.
+    #[error("the responses of other calls use up the memory for lists")]
     NoMemory,
 }
 
@@ -53,56 +53,57 @@
     }
 }
 
-/// A complete response.
+/// A complete response to a discovery call.
 pub(super) struct ListResponse<P: Runtime> {
     /// The list as JSON.
     pub(super) text: ListBuffer,
-    /// The connection, for the next call.
+    /// The connection, which the next call can reuse.
     pub(super) connection: Connection<P>,
-    /// When the call began.
+    /// Time at which the call was started.
     pub(super) started: Instant,
 }
 
-/// How long the parts of a response may take.
+/// Timeouts for the parts of a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeouts {
-    /// From the request to the head.
+    /// From the request to the response head.
     head: Duration,
-    /// Between two pieces of the body.
+    /// Between two parts of the response body.
     read: Duration,
 }
 
-impl From<CallError> for CallEnd {
-    fn from(error: CallError) -> CallEnd {
+impl From<CallError> for CallOutcome {
+    fn from(error: CallError) -> CallOutcome {
         match error {
-            CallError::Broken | CallError::Shortage => CallEnd::Broken,
-            CallError::TimedOut => CallEnd::TimedOut,
-            CallError::TooLong(_) => CallEnd::TooLong,
-            CallError::NoMemory => CallEnd::NoMemory,
+            CallError::Broken | CallError::Shortage => CallOutcome::Broken,
+            CallError::TimedOut => CallOutcome::TimedOut,
+            CallError::TooLong(_) => CallOutcome::TooLong,
+            CallError::NoMemory => CallOutcome::NoMemory,
         }
     }
 }
 
 impl Timeouts {
-    /// For a request that the service may hold for `hold`, and has to answer within `patience` then.
-    pub(super) fn new(hold: Duration, patience: Duration) -> Timeouts {
-        Timeouts { head: hold + patience, read: READ_TIMEOUT.max(patience) }
+    /// Returns the timeouts of a long poll that the service may hold for `hold` and must then answer within
+    /// `head_timeout`.
+    pub(super) fn new(hold: Duration, head_timeout: Duration) -> Timeouts {
+        Timeouts { head: hold + head_timeout, read: READ_TIMEOUT.max(head_timeout) }
     }
 }
 
-/// What a response may take.
+/// Time and memory limits of a response.
 #[derive(Clone, Debug)]
 pub(super) struct ResponseLimits {
     pub(super) timeouts: Timeouts,
-    /// The longest body.
+    /// Maximum length of the body, in bytes.
     pub(super) max_bytes: usize,
-    /// Shared with other calls.
+    /// Memory that the responses of all calls share.
     pub(super) memory: ListMemory,
 }
 
-/// A connection to discovery. Dropping it closes it.
+/// A connection to the discovery service, which is closed when it is dropped.
 pub(super) struct Connection<P: Runtime> {
-    /// How many calls were made on it.
+    /// Number of calls made on this connection.
     calls: u32,
     sender: SendRequest<Empty<Bytes>>,
     driver: P::TaskHandle,
@@ -125,12 +126,13 @@
         Ok(Connection { calls: 0, sender, driver })
     }
 
-    /// Whether the last response may be a copy of an earlier one: a call was made before.
+    /// Returns whether an earlier call was made on this connection, so that the last response may be a duplicate of
+    /// an earlier one.
     pub(super) fn is_used(&self) -> bool {
         self.calls > 1
     }
 
-    /// Whether it can take no further call.
+    /// Returns whether the connection can carry no further call.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -154,7 +156,7 @@
     }
 }
 
-/// Gets `path`, on `connection` or else on a new one to `address`.
+/// Sends a GET request for `path` on `connection`, or on a new connection to `address` if there is none.
 pub(super) async fn fetch<P: Runtime>(
     connection: Option<Connection<P>>,
     address: SocketAddr,
@@ -177,10 +179,10 @@
     Ok(ListResponse { text, connection, started })
 }
 
-/// Reads a body.
+/// Reads a response body.
 ///
-/// A response may stop half way and stay open, or arrive a byte at a time for ever. While it makes
-/// progress it is read on, but not for longer than a sound one can take.
+/// A response may stall half way with the connection open, or arrive one byte at a time without end. Reading goes on
+/// while data arrives, but no longer than [`RESPONSE_TIMEOUT`], which is more than any regular response takes.
 async fn read_body<P: Runtime>(
     mut body: Incoming,
     limits: &ResponseLimits,
--- a/src/sidecar/discovery/list_buffer.rs
+++ b/src/sidecar/discovery/list_buffer.rs
@@ -1,34 +1,34 @@
-//! Buffers for the responses of calls in flight, which together take a bounded amount of memory.
+//! Buffers for the responses of calls in flight, with a limit on their total size.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How much memory the responses of all calls take together, in bytes.
+/// Memory used by the responses of all calls together, in bytes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListMemory {
     used: Rc<Cell<usize>>,
 }
 
 impl ListMemory {
-    /// How many lists of the greatest length fit in at the same time.
+    /// Number of lists of maximum length that fit into memory at the same time.
     pub(super) const MAX_LISTS: usize = 2;
 
-    /// An empty buffer for a list of at most `max_bytes`.
+    /// Creates an empty buffer for a list of at most `max_bytes`.
     pub(super) fn buffer(&self, max_bytes: usize) -> ListBuffer {
         ListBuffer { text: Vec::new(), max_bytes, used: self.used.clone() }
     }
 }
 
-/// Why a response cannot be read on.
+/// The reason why no more of a response can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BufferError {
-    /// It has at least so many bytes, which are too many for one list.
+    /// The response has at least this many bytes, which exceeds the limit for one list.
     TooLong(usize),
-    /// Together with the responses of other calls it would take too much memory.
+    /// The responses of all calls together would exceed the memory limit.
     NoMemory,
 }
 
-/// The part of a response that has arrived.
+/// The part of a response that has been received so far.
 #[derive(Debug)]
 pub(super) struct ListBuffer {
     text: Vec<u8>,
@@ -37,11 +37,11 @@
 }
 
 impl ListBuffer {
-    /// Appends what has arrived.
+    /// Appends received data.
     ///
     /// # Errors
     ///
-    /// When there is no room for it.
+    /// Returns an error if the list or the responses of all calls become too long.
     pub(super) fn append(&mut self, data: &[u8]) -> Result<(), BufferError> {
         let length = self.text.len() + data.len();
         if length > self.max_bytes {
@@ -56,13 +56,13 @@
         Ok(())
     }
 
-    /// Allocates memory for `bytes` at once, if a list may have so many.
+    /// Allocates memory for `bytes` in one step, but no more than the limits leave.
     pub(super) fn reserve(&mut self, bytes: usize) {
         let free = (ListMemory::MAX_LISTS * self.max_bytes).saturating_sub(self.used.get());
         self.text.reserve(bytes.min(self.max_bytes).min(free));
     }
 
-    /// What has arrived.
+    /// Returns the data received so far.
     pub(super) fn text(&self) -> &[u8] {
         &self.text
     }
--- a/src/sidecar/discovery/list_buffer/tests.rs
+++ b/src/sidecar/discovery/list_buffer/tests.rs
@@ -1,4 +1,4 @@
-//! How much memory the responses of several calls take together.
+//! Tests of the memory limits for the responses of several calls.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     assert_eq!(buffers[1].append(&[0; 6]), Ok(()));
 }
 
-/// Many announce much, and send little.
+/// A response with a huge `Content-Length` must not make the sidecar allocate that much memory.
 #[test]
 fn announced_length_reserves_no_more_than_there_is() {
     let memory = ListMemory::default();
--- a/src/sidecar/discovery/mod.rs
+++ b/src/sidecar/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! Service discovery: fetches and watches the list of servers, and passes it on to a listener.
+//! Service discovery: fetches and watches the endpoint list and passes it on to a listener.
 //!
-//! Only complete responses count, and none that is longer than the memory limit allows.
+//! Incomplete responses, and lists that are longer than the memory limit allows, are discarded.
 
 mod calls;
 mod client;
@@ -19,7 +19,7 @@
 
 use super::budget::max_list_bytes;
 use super::config::{BorrowedText, EndpointList};
-use super::discovery_status::CallEnd;
+use super::discovery_status::CallOutcome;
 use super::status::Status;
 use crate::api::ListKind;
 use crate::settings::DiscoveryMode as Mode;
@@ -27,70 +27,71 @@
 use client::{CallError, Connection, ListResponse};
 use list_buffer::ListMemory;
 use progress::Progress;
-use schedule::AgentTimes;
+use schedule::CallTiming;
 
-/// How long the log is silent after a line that tells of a list which is too long.
+/// Minimum time between two log lines about a list that is too long.
 const TOO_LONG_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the balancer asks of discovery.
+/// A request of the balancer to the discovery client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryRequest {
-    /// Changes from now on.
+    /// Watch for changes from now on.
     Watch,
-    /// The complete list, once.
+    /// Fetch the complete list once.
     Fetch,
 }
 
-/// Receives what discovery says.
+/// Receives endpoint lists and failures from the discovery client.
 pub trait EndpointListener {
-    /// A complete list, or changes of it.
+    /// Called with a complete list or with changes to the current one.
     fn on_list(&self, kind: ListKind, list: &EndpointList<BorrowedText<'_>>);
-    /// How many servers can be listed at most.
+    /// Returns the maximum number of servers in a list.
     fn max_servers(&self) -> usize;
-    /// A list was longer than that; the call counts as failed.
+    /// Called when a list was longer than [`EndpointListener::max_servers`] allows; the call counts as failed.
     fn on_list_too_long(&self);
-    /// A call failed, or the watch broke.
+    /// Called when a call failed or the watch was interrupted.
     fn on_failure(&self);
 }
 
-/// What came of a list.
+/// The effect of a received list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Update {
-    /// It was passed on.
+    /// The list was passed on.
     Changed,
-    /// It was passed on, and has no servers, or the version of the one before.
+    /// The list was passed on; it has no servers, or the same version as the previous list.
     Unchanged,
-    /// It was passed on, and has an earlier version than the one before: discovery counts anew.
+    /// The list was passed on; its version is lower than that of the previous list, since discovery has restarted
+    /// its version counter.
     Restarted,
-    /// It has changes since a version that discovery does not count any more, or may be a copy of an earlier
-    /// answer, and was not passed on.
+    /// The list was discarded: its version is lower than the current one, and it is either a list of changes or may
+    /// be a duplicate of an earlier response.
     Stale,
-    /// A newer one arrived before it, and it was not passed on.
-    Overtaken,
+    /// The list was discarded: a newer one arrived first.
+    Superseded,
 }
 
 /// The client of the discovery service.
 pub struct Discovery<P: Runtime> {
-    /// Where the service is; a reload can change it.
+    /// Address of the discovery service, which a configuration reload can change.
     address: watch::Receiver<SocketAddr>,
     mode: Mode,
-    agent: AgentTimes,
+    call_timing: CallTiming,
     connection: Option<Connection<P>>,
     list_memory: ListMemory,
-    /// The version of the present list.
+    /// Version of the current list.
     version: u64,
     call_finished: Rc<Notify>,
     status: Rc<Status>,
-    /// When a list that was too long was last logged.
+    /// Time of the last log line about a list that is too long.
     too_long_logged_at: Option<Instant>,
 }
 
 impl<P: Runtime> Discovery<P> {
-    /// A client without a connection.
+    /// Creates a client without a connection.
     ///
-    /// `grace` is how long a server may be sent requests after it is known to want none, `version` the
-    /// version of the cached list; `call_finished` is notified of every call that ends, and `status`
-    /// is told how.
+    /// `grace` is the time for which a server may still be sent requests after discovery has reported it as draining
+    /// or gone. `version` is the version of the cached list. `call_finished` is notified when a call ends, and
+    /// `status` records how it ended.
     pub fn new(
         address: watch::Receiver<SocketAddr>,
         mode: Mode,
@@ -102,7 +103,7 @@
         Discovery {
             address,
             mode,
-            agent: AgentTimes::within(grace),
+            call_timing: CallTiming::for_grace(grace),
             connection: None,
             list_memory: ListMemory::default(),
             version,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Keeps the listener's list up to date.
+    /// Keeps the listener's list up to date until `requests` is closed.
     pub async fn run(
         mut self,
         listener: impl EndpointListener,
@@ -124,14 +125,15 @@
         }
     }
 
-    /// Starts a call: for the complete list, or a watch that the service may hold for `hold`.
+    /// Starts a call: a request for the complete list if `hold` is `None`, or else a watch, a long poll that the
+    /// service may hold for `hold`.
     ///
-    /// The response has to begin within `patience` after that. The call takes the connection of the
-    /// last one, and hands it back with a list; after an error, the next call opens a new one.
+    /// The response has to begin within `head_timeout` after that. The call uses the connection of the previous call
+    /// and returns it with the list. After an error, the next call opens a new connection.
     fn start_call(
         &mut self,
         hold: Option<Duration>,
-        patience: Duration,
+        head_timeout: Duration,
         max_servers: usize,
     ) -> ListCall<P> {
         let address = *self.address.borrow();
@@ -142,7 +144,7 @@
                 format!("/registry/instances?from={}&hold_ms={}", self.version, hold.as_millis())
             }
         };
-        let timeouts = client::Timeouts::new(hold.unwrap_or_default(), patience);
+        let timeouts = client::Timeouts::new(hold.unwrap_or_default(), head_timeout);
         let connection = self.connection.take().filter(|connection| !connection.is_closed());
         let max_bytes = max_list_bytes(max_servers);
         let memory = self.list_memory.clone();
@@ -152,7 +154,7 @@
         ListCall { progress, result: Box::pin(result) }
     }
 
-    /// Passes the list of a response on, and keeps the connection.
+    /// Passes the list of a response on to the listener, and keeps the connection for the next call.
     fn apply(
         &mut self,
         listener: &impl EndpointListener,
@@ -165,22 +167,22 @@
             Update::Changed | Update::Unchanged | Update::Restarted => {
                 self.status.discovery.record_list(self.version, response.started, P::now());
             }
-            Update::Stale | Update::Overtaken => {
-                self.status.discovery.record_end(CallEnd::Superseded);
+            Update::Stale | Update::Superseded => {
+                self.status.discovery.record_outcome(CallOutcome::Superseded);
             }
         }
-        // What may be a copy leaves the answer to its call still to come.
+        // If this was a duplicate of an earlier response, the response to this call is still to come on the
+        // connection, so the connection cannot be reused.
         self.connection = (update != Update::Stale).then_some(response.connection);
         Ok(update)
     }
 
-    /// Passes a list on, unless it is older than the present one.
+    /// Passes a list on to the listener, unless it is older than the current one.
     ///
-    /// A list is large if there are many servers. Its names stay where they are in its text, so that
-    /// it is in memory once while it is read.
+    /// Lists of many servers are large, so the parsed list borrows its names from the text instead of copying them.
     ///
-    /// One on a used connection that goes back may be the second copy of an earlier answer there. Only a new
-    /// connection tells that discovery counts anew.
+    /// A list with a lower version on a reused connection may be a duplicate of an earlier response on that
+    /// connection. Only a lower version on a new connection shows that discovery has restarted its version counter.
     fn apply_text(
         &mut self,
         listener: &impl EndpointListener,
@@ -190,11 +192,11 @@
     ) -> Result<Update, CallError> {
         let list: EndpointList<BorrowedText<'_>> =
             serde_json::from_slice(text).map_err(|_| CallError::Broken)?;
-        let went_back = list.version < self.version;
-        if went_back && order == CallOrder::BesideList {
-            return Ok(Update::Overtaken);
+        let is_lower_version = list.version < self.version;
+        if is_lower_version && order == CallOrder::BeforeList {
+            return Ok(Update::Superseded);
         }
-        if went_back && (is_used || !list.is_complete) {
+        if is_lower_version && (is_used || !list.is_complete) {
             return Ok(Update::Stale);
         }
         let same_version = list.version == self.version;
@@ -202,24 +204,24 @@
         let kind = if list.is_complete { ListKind::Complete } else { ListKind::Delta };
         listener.on_list(kind, &list);
         Ok(match list.endpoints.is_empty() || same_version {
-            _ if went_back => Update::Restarted,
+            _ if is_lower_version => Update::Restarted,
             true => Update::Unchanged,
             false => Update::Changed,
         })
     }
 
-    /// Counts a call that brought no list.
+    /// Records a call that returned no list.
     fn record_error(&self, response: &Result<Update, CallError>) {
         if let Err(error) = *response {
-            tracing::debug!(%error, version = self.version, "call of discovery failed");
-            self.status.discovery.record_end(CallEnd::from(error));
+            tracing::debug!(%error, version = self.version, "discovery call failed");
+            self.status.discovery.record_outcome(CallOutcome::from(error));
         }
     }
 
     /// Reports a list of at least `bytes` that was not read.
     ///
-    /// A sidecar that reads more than its memory limit allows is killed, and one that does not say
-    /// what it ignores would never be ready for no visible reason.
+    /// A sidecar that reads more than its memory limit allows is killed. The list is logged because a sidecar that
+    /// silently ignored it would never become ready for no visible reason.
     fn report_too_long(
         &mut self,
         listener: &impl EndpointListener,
@@ -241,7 +243,7 @@
     }
 }
 
-/// Waits until the address changes; false, at once and for good, if it cannot change any more.
+/// Waits until the address changes. Returns false immediately if it cannot change any more.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) -> bool {
     address.changed().await.is_ok()
 }
--- a/src/sidecar/discovery/poll.rs
+++ b/src/sidecar/discovery/poll.rs
@@ -1,5 +1,5 @@
-//! Lists that are polled from a service shared by many sidecars: calls load it, and the balancer
-//! decides when there is one.
+//! Discovery by polling: lists come from a service that many sidecars share. Every call puts load on that service, so
+//! the balancer decides when a call is made.
 
 use std::time::{Duration, Instant};
 
@@ -11,48 +11,50 @@
 use super::{Discovery, DiscoveryRequest, EndpointListener, Update, address_changed};
 use crate::api::NOTIFICATION_DEADLINE;
 
-/// How long the service may hold a watch, and how long it may take to answer after that, or at once,
-/// before it is called again.
+/// Time for which the service may hold a watch.
 ///
-/// By the protocol, the sidecar counts as knowing what a silent watch missed 6 s after it fell silent.
-/// These times leave room for a second watch and, if that fails, the balancer's first backoff and a
+/// By the protocol, a sidecar is expected to know what an unresponsive watch missed 6 s after it became unresponsive.
+/// [`HOLD`] and [`LATE_AFTER`] leave room for a second watch and, if that fails, the balancer's first backoff and a
 /// third call.
 const HOLD: Duration = Duration::from_millis(2000);
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// How long a call is waited for beside others. A slower service is never understood.
-const LATE_PATIENCE: Duration = Duration::from_secs(4);
-/// The most calls that are waited for beside the current one.
+/// Time after the end of the hold, or after the start of a call that is not held, at which a call counts as late and
+/// the service is called again.
+const LATE_AFTER: Duration = Duration::from_millis(1500);
+/// Timeout for the response head, also of late calls that are still awaited while newer ones are made. Lists of a
+/// slower service are never received.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of late calls that are awaited in addition to the current one.
 const MAX_LATE_CALLS: usize = 2;
-/// After a failed call, a list that discovery has not confirmed for so long counts as overdue.
+/// After a failed call, a list that discovery has not confirmed for this long counts as overdue.
 const NOTIFICATION_BOUND: Duration = Duration::from_micros(NOTIFICATION_DEADLINE);
 
-/// The call that is to bring the next list.
+/// The newest call, from which the next list is expected.
 #[derive(Clone, Copy, Debug)]
 struct CurrentCall {
     id: CallId,
-    /// When its response is late, if no part of it arrives before.
+    /// Time at which the call counts as late if no part of its response has arrived by then.
     late_at: Instant,
 }
 
-/// What the next call is to be.
+/// State that determines whether and how the next call is made.
 #[derive(Debug, Default)]
 struct PollState {
-    /// There is to be a call.
+    /// Whether a call is to be in flight.
     calling: bool,
-    /// It fetches the complete list.
+    /// Whether the next call fetches the complete list.
     full_list: bool,
-    /// It is followed by watches.
+    /// Whether watches follow the next call.
     watching: bool,
-    /// How long the service may hold it, if it is a watch.
+    /// Time for which the service may hold the next call, if it is a watch.
     hold: Duration,
-    /// It was opened for a call that was late.
+    /// Whether the current call has replaced one that was late.
     reopened: bool,
     current: Option<CurrentCall>,
     numbers: CallNumbers,
 }
 
 impl PollState {
-    /// The next call is of another service.
+    /// The next call goes to another service, which is asked for the complete list.
     fn on_address_changed(&mut self) {
         self.calling = true;
         self.full_list = true;
@@ -64,7 +66,7 @@
         match request {
             DiscoveryRequest::Watch => {
                 self.watching = true;
-                // The first call is answered at once, with what was missed.
+                // The first watch is not held, so it returns the missed changes immediately.
                 self.hold = Duration::ZERO;
             }
             DiscoveryRequest::Fetch => self.full_list = true,
@@ -73,15 +75,15 @@
         self.reopened = false;
     }
 
-    /// Begins the next call.
-    fn begin(&mut self, now: Instant) -> CallId {
+    /// Starts the next call.
+    fn start_next(&mut self, now: Instant) -> CallId {
         let id = self.numbers.next();
         let hold = self.watch_hold().unwrap_or_default();
-        self.current = Some(CurrentCall { id, late_at: now + hold + PATIENCE });
+        self.current = Some(CurrentCall { id, late_at: now + hold + LATE_AFTER });
         id
     }
 
-    /// The current call brought a list: it is watched on, if that was asked for.
+    /// The current call returned a list: watches follow, if the balancer has asked for them.
     fn on_success(&mut self) {
         self.calling = self.watching;
         self.full_list = false;
@@ -90,7 +92,7 @@
         self.current = None;
     }
 
-    /// The balancer decides when there is to be another call.
+    /// The current call failed: the balancer decides when the next call is made.
     fn on_failure(&mut self) {
         self.calling = false;
         self.watching = false;
@@ -98,8 +100,8 @@
         self.current = None;
     }
 
-    /// The current call is late: the next one is to be answered at once, with what it missed. Whether there is
-    /// to be a next one now.
+    /// The current call is late: the next watch is not held, so it returns the missed changes immediately. Returns
+    /// whether the next call is made now; false if the current call has already replaced a late one.
     fn on_late(&mut self) -> bool {
         if self.reopened {
             self.on_failure();
@@ -115,34 +117,34 @@
         self.current.is_some_and(|current| current.id == id)
     }
 
-    /// How long the service may hold the next call; none if that fetches the complete list.
+    /// Returns the time for which the service may hold the next call; `None` if it fetches the complete list.
     fn watch_hold(&self) -> Option<Duration> {
         (!self.full_list).then_some(self.hold)
     }
 }
 
-/// What happens next.
+/// An event that the polling loop handles.
 enum PollEvent<P: Runtime> {
-    /// Discovery is at another address.
-    Moved,
+    /// The address of the discovery service has changed.
+    AddressChanged,
     Requested(DiscoveryRequest),
     CallEnded(CallId, CallResult<P>),
-    /// The current call may be late.
+    /// The current call is late, unless a part of its response has just arrived.
     Late,
-    /// Nobody wants lists any more.
+    /// The request channel was closed: no more lists are needed.
     Closed,
 }
 
 impl<P: Runtime> Discovery<P> {
-    /// Calls whenever the balancer asks for it.
+    /// Makes calls when the balancer requests them.
     ///
-    /// A silent watch is noticed late, when little is left of the time within which the sidecar has to know
-    /// what it missed. So it is reopened once without a backoff; sidecars notice at different times, which
-    /// spreads these calls. A connection that breaks does so for all sidecars at once, so then the backoff
-    /// of the balancer spreads the calls.
+    /// A watch without a response is detected late, when little is left of the time within which the sidecar has to
+    /// know what it missed. Such a watch is therefore reopened once without backoff; sidecars detect it at different
+    /// times, which spreads these calls. A broken connection is seen by all sidecars at the same time, so after that
+    /// the balancer's backoff spreads the calls.
     ///
-    /// A call that is late is waited for beside the next: dropped for it, no answer of a service would
-    /// arrive that needs longer than the time between two calls.
+    /// A late call stays in flight next to the following one. If it were cancelled, no response would ever arrive from
+    /// a service that takes longer to answer than the time between two calls.
     pub(super) async fn run_polled(
         &mut self,
         listener: impl EndpointListener,
@@ -153,18 +155,18 @@
         let mut calls = CallsInFlight::new();
         loop {
             if state.calling && state.current.is_none() {
-                self.begin_poll(&listener, &mut state, &mut calls);
+                self.start_poll(&listener, &mut state, &mut calls);
             }
             let event = tokio::select! {
                 biased;
-                true = address_changed(&mut address) => PollEvent::Moved,
+                true = address_changed(&mut address) => PollEvent::AddressChanged,
                 request = requests.recv() => request.map_or(PollEvent::Closed, PollEvent::Requested),
                 (id, result) = calls.next() => PollEvent::CallEnded(id, result),
-                () = late::<P>(state.current) => PollEvent::Late,
+                () = wait_until_late::<P>(state.current) => PollEvent::Late,
             };
             match event {
-                // The present list is another service's, and so is its version.
-                PollEvent::Moved => {
+                // The version of the current list has no meaning at the new service.
+                PollEvent::AddressChanged => {
                     self.record_superseded(calls.len());
                     calls = CallsInFlight::new();
                     state.on_address_changed();
@@ -189,7 +191,7 @@
         }
     }
 
-    fn begin_poll(
+    fn start_poll(
         &mut self,
         listener: &impl EndpointListener,
         state: &mut PollState,
@@ -201,12 +203,12 @@
             calls.remove(oldest);
             self.record_superseded(1);
         }
-        let id = state.begin(P::now());
-        let call = self.start_call(state.watch_hold(), LATE_PATIENCE, listener.max_servers());
+        let id = state.start_next(P::now());
+        let call = self.start_call(state.watch_hold(), HEAD_TIMEOUT, listener.max_servers());
         calls.push(id, call);
     }
 
-    /// Notes that the current call is late, unless a part of its response has just arrived.
+    /// Handles the current call as late, unless a part of its response has just arrived.
     fn on_late_poll(
         &mut self,
         listener: &impl EndpointListener,
@@ -215,9 +217,9 @@
     ) {
         let Some(current) = &mut state.current else { return };
         if let Some(progress) = calls.last_progress(current.id)
-            && progress + PATIENCE > current.late_at
+            && progress + LATE_AFTER > current.late_at
         {
-            current.late_at = progress + PATIENCE;
+            current.late_at = progress + LATE_AFTER;
             return;
         }
         if !state.on_late() {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Takes in what a call came to, and sets what follows; whether the current call is over and not reopened.
+    /// Handles the result of a call. Returns whether the current call has ended and is not reopened.
     fn finish_poll(
         &mut self,
         listener: &impl EndpointListener,
@@ -249,10 +251,10 @@
             Err(CallError::TooLong(bytes)) => {
                 self.report_too_long(listener, bytes, listener.max_servers());
             }
-            Ok(Update::Stale | Update::Overtaken) | Err(_) => {}
+            Ok(Update::Stale | Update::Superseded) | Err(_) => {}
         }
         if !is_current {
-            // The current call goes on, or the balancer decides when there is to be another.
+            // A late call has ended. The current call stays in flight, or the balancer decides when the next is made.
             return false;
         }
         match update {
@@ -279,8 +281,8 @@
     }
 }
 
-/// Waits until a call may be late; for ever, if there is none.
-async fn late<P: Runtime>(call: Option<CurrentCall>) {
+/// Waits until the current call is due to be late. Never returns without a current call.
+async fn wait_until_late<P: Runtime>(call: Option<CurrentCall>) {
     match call {
         Some(call) => expiry::<P>(call.late_at).await,
         None => std::future::pending().await,
--- a/src/sidecar/discovery/push.rs
+++ b/src/sidecar/discovery/push.rs
@@ -1,4 +1,4 @@
-//! Lists that an agent on this machine pushes: calls to it cost nothing, so one is always in flight.
+//! Discovery by push: lists come from an agent on this host. Calls to it are cheap, so a watch is always in flight.
 
 use std::time::Duration;
 
@@ -10,104 +10,106 @@
 use super::list_buffer::ListMemory;
 use super::schedule::CallSchedule;
 use super::{Discovery, DiscoveryRequest, EndpointListener, address_changed};
-use crate::sidecar::discovery_status::CallEnd;
+use crate::sidecar::discovery_status::CallOutcome;
 
-/// How long an agent may take to answer a call. A slower one is never understood.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for the response head of a call to the agent. Lists of a slower agent are never received.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happens next.
+/// An event that the push loop handles.
 enum PushEvent<P: Runtime> {
-    /// Discovery is at another address.
-    Moved,
+    /// The address of the agent has changed.
+    AddressChanged,
     CallEnded(CallId, CallResult<P>),
     Requested(DiscoveryRequest),
+    /// The next call is due.
     CallDue,
-    /// Nobody wants lists any more.
+    /// The request channel was closed: no more lists are needed.
     Closed,
 }
 
-/// The calls of an agent, and when they are made.
-struct Watch<P: Runtime> {
+/// The calls to an agent and their schedule.
+struct AgentCalls<P: Runtime> {
     schedule: CallSchedule,
     calls: CallsInFlight<P>,
 }
 
 impl<P: Runtime> Discovery<P> {
-    /// Watches the list.
+    /// Watches the agent's list until `requests` is closed.
     pub(super) async fn run_pushed(
         &mut self,
         listener: impl EndpointListener,
         mut requests: mpsc::UnboundedReceiver<DiscoveryRequest>,
     ) {
         let mut address = self.address.clone();
-        let mut watch = self.new_watch();
+        let mut agent = self.new_agent_calls();
         loop {
             let event = tokio::select! {
                 biased;
-                true = address_changed(&mut address) => PushEvent::Moved,
-                (id, result) = watch.calls.next() => PushEvent::CallEnded(id, result),
+                true = address_changed(&mut address) => PushEvent::AddressChanged,
+                (id, result) = agent.calls.next() => PushEvent::CallEnded(id, result),
                 request = requests.recv() => request.map_or(PushEvent::Closed, PushEvent::Requested),
-                () = expiry::<P>(watch.schedule.next_call_at()) => PushEvent::CallDue,
+                () = expiry::<P>(agent.schedule.next_call_at()) => PushEvent::CallDue,
             };
             match event {
-                PushEvent::Moved => {
-                    // Each service counts its own versions, so a new one is asked for the complete list,
-                    // and at once, since the sidecar counts as knowing what it has.
-                    self.record_superseded(watch.calls.len());
-                    watch = self.new_watch();
+                PushEvent::AddressChanged => {
+                    // Each agent has its own version counter, so the new one is asked for the complete list. It is
+                    // asked immediately, since by the protocol the sidecar is expected to know its list.
+                    self.record_superseded(agent.calls.len());
+                    agent = self.new_agent_calls();
                     self.version = 0;
                     self.connection = None;
                 }
                 PushEvent::CallEnded(id, result) => {
-                    self.finish_call(&listener, &mut watch, id, result);
+                    self.finish_call(&listener, &mut agent, id, result);
                     self.call_finished.notify_one();
                 }
-                PushEvent::Requested(DiscoveryRequest::Fetch) => watch.schedule.request_full_list(),
-                // An agent is always watched.
+                PushEvent::Requested(DiscoveryRequest::Fetch) => agent.schedule.request_full_list(),
+                // The agent is always watched.
                 PushEvent::Requested(DiscoveryRequest::Watch) => {}
-                PushEvent::CallDue => self.begin_call(&listener, &mut watch),
+                PushEvent::CallDue => self.start_next_call(&listener, &mut agent),
                 PushEvent::Closed => return,
             }
         }
     }
 
-    fn new_watch(&self) -> Watch<P> {
-        let schedule = CallSchedule::new(self.agent, P::now());
-        Watch { schedule, calls: CallsInFlight::new() }
+    fn new_agent_calls(&self) -> AgentCalls<P> {
+        let schedule = CallSchedule::new(self.call_timing, P::now());
+        AgentCalls { schedule, calls: CallsInFlight::new() }
     }
 
-    /// Begins the next call, unless enough responses are arriving: more would only take their bandwidth.
-    fn begin_call(&mut self, listener: &impl EndpointListener, watch: &mut Watch<P>) {
+    /// Starts the next call, unless enough responses are being received: more calls would only compete with them for
+    /// bandwidth.
+    fn start_next_call(&mut self, listener: &impl EndpointListener, agent: &mut AgentCalls<P>) {
         let now = P::now();
-        let Watch { schedule, calls } = watch;
-        self.status.discovery.check_overdue(now, self.agent.grace, calls.len());
+        let AgentCalls { schedule, calls } = agent;
+        self.status.discovery.check_overdue(now, self.call_timing.grace, calls.len());
         if schedule.lateness(now) >= READ_TIMEOUT {
-            // What waits for the first call to end need not wait for one that is late.
+            // Tasks that wait for the first call to end do not wait for a late one.
             self.call_finished.notify_one();
         }
-        if calls.receiving(now, self.agent.interval) >= ListMemory::MAX_LISTS {
+        if calls.receiving_count(now, self.call_timing.interval) >= ListMemory::MAX_LISTS {
             return schedule.postpone(now);
         }
-        let is_receiving = |id| calls.is_receiving(id, now, self.agent.grace);
-        let (next, given_up) = schedule.begin(now, is_receiving);
-        self.give_up(calls, &given_up);
-        let call = self.start_call(next.hold, PATIENCE, listener.max_servers());
+        let is_receiving = |id| calls.is_receiving(id, now, self.call_timing.grace);
+        let (next, cancelled) = schedule.start_next(now, is_receiving);
+        self.cancel(calls, &cancelled);
+        let call = self.start_call(next.hold, HEAD_TIMEOUT, listener.max_servers());
         calls.push(next.id, call);
     }
 
-    /// Takes in what a call came to.
+    /// Handles the result of a call.
     fn finish_call(
         &mut self,
         listener: &impl EndpointListener,
-        watch: &mut Watch<P>,
+        agent: &mut AgentCalls<P>,
         id: CallId,
         result: CallResult<P>,
     ) {
-        let Watch { schedule, calls } = watch;
+        let AgentCalls { schedule, calls } = agent;
         let order = schedule.order(id);
         let update = result.and_then(|response| self.apply(listener, response, order));
         self.record_error(&update);
-        let given_up = match update {
+        let cancelled = match update {
             Ok(update) => schedule.on_list(id, update, P::now()),
             Err(CallError::Broken) => schedule.on_broken(id, P::now()),
             Err(CallError::Shortage) => schedule.on_shortage(id, P::now()),
@@ -121,20 +123,20 @@
                 Vec::new()
             }
         };
-        self.give_up(calls, &given_up);
+        self.cancel(calls, &cancelled);
     }
 
-    fn give_up(&self, calls: &mut CallsInFlight<P>, given_up: &[CallId]) {
-        for &id in given_up {
+    fn cancel(&self, calls: &mut CallsInFlight<P>, cancelled: &[CallId]) {
+        for &id in cancelled {
             calls.remove(id);
         }
-        self.record_superseded(given_up.len());
+        self.record_superseded(cancelled.len());
     }
 
-    /// Counts calls that were given up for others.
+    /// Counts calls that were cancelled in favor of newer ones.
     pub(super) fn record_superseded(&self, count: usize) {
         for _ in 0..count {
-            self.status.discovery.record_end(CallEnd::Superseded);
+            self.status.discovery.record_outcome(CallOutcome::Superseded);
         }
     }
 }
--- a/src/sidecar/discovery/schedule/tests.rs
+++ b/src/sidecar/discovery/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! When calls begin, which are given up, and which may have an old list.
+//! Tests of the schedule: when calls are started, which are cancelled, and which may return an older list.
 
 use super::*;
 
@@ -6,35 +6,35 @@
 const HOLD: Duration = Duration::from_millis(100);
 const INTERVAL: Duration = Duration::from_micros(62_500);
 
-/// A schedule with its clock.
-struct Bench {
+/// A schedule and the time at which it is tested.
+struct ScheduleTester {
     schedule: CallSchedule,
     now: Instant,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl ScheduleTester {
+    fn new() -> ScheduleTester {
         let now = Instant::now();
-        Bench { schedule: CallSchedule::new(AgentTimes::within(GRACE), now), now }
+        ScheduleTester { schedule: CallSchedule::new(CallTiming::for_grace(GRACE), now), now }
     }
 
-    /// Passes the time until the next call, and begins it.
-    fn begin(&mut self) -> (NextCall, Vec<CallId>) {
+    /// Advances the time to the next call and starts it.
+    fn start_next(&mut self) -> (NextCall, Vec<CallId>) {
         self.now = self.now.max(self.schedule.next_call_at());
-        self.schedule.begin(self.now, |_| false)
+        self.schedule.start_next(self.now, |_| false)
     }
 
-    /// A schedule whose first call brought a list and whose next call is a watch under way.
-    fn watching() -> (Bench, CallId) {
-        let mut bench = Bench::new();
-        let (first, _) = bench.begin();
-        assert_eq!(bench.list(first.id, Update::Changed), []);
-        let (watch, _) = bench.begin();
+    /// Returns a schedule whose first call returned a list, and the watch that is in flight after it.
+    fn watching() -> (ScheduleTester, CallId) {
+        let mut tester = ScheduleTester::new();
+        let (first, _) = tester.start_next();
+        assert_eq!(tester.on_list(first.id, Update::Changed), []);
+        let (watch, _) = tester.start_next();
         assert_eq!(watch.hold, Some(HOLD));
-        (bench, watch.id)
+        (tester, watch.id)
     }
 
-    fn list(&mut self, id: CallId, update: Update) -> Vec<CallId> {
+    fn on_list(&mut self, id: CallId, update: Update) -> Vec<CallId> {
         self.schedule.on_list(id, update, self.now)
     }
 
@@ -44,185 +44,187 @@
 }
 
 #[test]
-fn first_call_fetches_the_complete_list_at_once_and_watches_follow() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.until_next(), Duration::ZERO);
-    let (first, given_up) = bench.begin();
-    assert_eq!((first.hold, given_up), (None, Vec::new()));
-    bench.list(first.id, Update::Changed);
-    assert_eq!(bench.until_next(), Duration::ZERO);
-    let (watch, _) = bench.begin();
+fn first_call_fetches_the_complete_list_immediately_and_watches_follow() {
+    let mut tester = ScheduleTester::new();
+    assert_eq!(tester.until_next(), Duration::ZERO);
+    let (first, cancelled) = tester.start_next();
+    assert_eq!((first.hold, cancelled), (None, Vec::new()));
+    tester.on_list(first.id, Update::Changed);
+    assert_eq!(tester.until_next(), Duration::ZERO);
+    let (watch, _) = tester.start_next();
     assert_eq!(watch.hold, Some(HOLD));
-    bench.list(watch.id, Update::Unchanged);
-    assert_eq!(bench.until_next(), UNCHANGED_DELAY);
+    tester.on_list(watch.id, Update::Unchanged);
+    assert_eq!(tester.until_next(), UNCHANGED_DELAY);
 }
 
-/// A call that is late is joined by others, the first of them a watch, which covers all changes from then on.
+/// While a call is late, further calls are started in parallel. The first of them is a watch, which returns all changes
+/// from then on.
 #[test]
-fn late_call_is_joined_by_others_at_intervals() {
-    let (mut bench, _) = Bench::watching();
-    let begun = bench.now;
-    let (second, _) = bench.begin();
-    assert_eq!(bench.now - begun, HOLD + INTERVAL);
+fn further_calls_are_started_at_intervals_while_one_is_late() {
+    let (mut tester, _) = ScheduleTester::watching();
+    let started = tester.now;
+    let (second, _) = tester.start_next();
+    assert_eq!(tester.now - started, HOLD + INTERVAL);
     assert_eq!(second.hold, Some(HOLD));
-    let (third, _) = bench.begin();
-    // By now it is not only slow.
+    let (third, _) = tester.start_next();
+    // The oldest call is late by more than two intervals, so the agent may have restarted.
     assert_eq!(third.hold, None);
-    assert_eq!(bench.until_next(), INTERVAL);
+    assert_eq!(tester.until_next(), INTERVAL);
 }
 
-/// Whatever time an answer takes up to the grace period, there is always a call that is as old. Where it takes longer,
-/// one call for each grace period is kept until it times out.
+/// Responses that take up to the grace period always arrive, since no call that young is cancelled. For slower
+/// responses, one call for each grace period is kept until it times out.
 #[test]
-fn calls_are_not_given_up_within_the_grace_period_and_some_not_at_all() {
-    const PATIENCE: Duration = Duration::from_secs(2);
-    let (mut bench, oldest) = Bench::watching();
-    let mut begun = vec![(oldest, bench.now)];
+fn calls_are_not_cancelled_within_the_grace_period_and_some_are_kept_until_they_time_out() {
+    const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let mut started = vec![(oldest, tester.now)];
     for _ in 0..200 {
-        let (next, given_up) = bench.begin();
-        begun.push((next.id, bench.now));
-        for call in given_up {
-            let &(_, at) = begun.iter().find(|(id, _)| *id == call).expect("begun");
-            assert!(bench.now - at >= GRACE, "given up after {:?}", bench.now - at);
-            begun.retain(|(id, _)| *id != call);
+        let (next, cancelled) = tester.start_next();
+        started.push((next.id, tester.now));
+        for call in cancelled {
+            let &(_, at) = started.iter().find(|(id, _)| *id == call).expect("begun");
+            assert!(tester.now - at >= GRACE, "cancelled after {:?}", tester.now - at);
+            started.retain(|(id, _)| *id != call);
         }
-        assert!(begun.len() <= MAX_CALLS, "{}", begun.len());
-        let old = begun.iter().filter(|(_, at)| bench.now - *at >= GRACE);
+        assert!(started.len() <= MAX_CALLS, "{}", started.len());
+        let old = started.iter().filter(|(_, at)| tester.now - *at >= GRACE);
         let old: Vec<_> = old.map(|(_, at)| *at).collect();
         let spaced = old.windows(2).all(|pair| pair[1] - pair[0] < 2 * GRACE);
         assert!(spaced, "calls older than the grace period began at {old:?}");
-        if bench.now - begun[0].1 >= PATIENCE {
-            bench.schedule.on_timeout(begun.remove(0).0);
+        if tester.now - started[0].1 >= HEAD_TIMEOUT {
+            tester.schedule.on_timeout(started.remove(0).0);
         }
     }
 }
 
 #[test]
-fn list_ends_the_older_calls_and_leaves_the_newer() {
-    let (mut bench, oldest) = Bench::watching();
-    let (second, _) = bench.begin();
-    let (third, _) = bench.begin();
-    assert_eq!(bench.list(second.id, Update::Changed), [oldest]);
-    // The third is not late yet.
-    assert_eq!(bench.until_next(), INTERVAL);
-    assert_eq!(bench.schedule.order(third.id), CallOrder::BesideList);
-    let (fourth, _) = bench.begin();
-    assert_eq!(bench.schedule.order(fourth.id), CallOrder::AfterList);
-}
-
-/// Two calls that begin at the same moment, one before and one after the list: times alone do not tell.
+fn list_cancels_older_calls_and_keeps_newer_ones() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let (second, _) = tester.start_next();
+    let (third, _) = tester.start_next();
+    assert_eq!(tester.on_list(second.id, Update::Changed), [oldest]);
+    // The third call is not late yet.
+    assert_eq!(tester.until_next(), INTERVAL);
+    assert_eq!(tester.schedule.order(third.id), CallOrder::BeforeList);
+    let (fourth, _) = tester.start_next();
+    assert_eq!(tester.schedule.order(fourth.id), CallOrder::AfterList);
+}
+
+/// Two calls are started at the same instant, one before and one after a list is applied, so start times cannot tell
+/// their order.
 #[test]
-fn order_of_calls_and_lists_does_not_follow_from_times() {
-    let mut bench = Bench::new();
-    let (first, _) = bench.begin();
-    bench.schedule.request_full_list();
-    let (second, _) = bench.begin();
-    bench.list(first.id, Update::Changed);
-    bench.schedule.request_full_list();
-    let (third, _) = bench.begin();
-    assert_eq!(bench.schedule.order(second.id), CallOrder::BesideList);
-    assert_eq!(bench.schedule.order(third.id), CallOrder::AfterList);
+fn order_of_calls_and_lists_does_not_depend_on_start_times() {
+    let mut tester = ScheduleTester::new();
+    let (first, _) = tester.start_next();
+    tester.schedule.request_full_list();
+    let (second, _) = tester.start_next();
+    tester.on_list(first.id, Update::Changed);
+    tester.schedule.request_full_list();
+    let (third, _) = tester.start_next();
+    assert_eq!(tester.schedule.order(second.id), CallOrder::BeforeList);
+    assert_eq!(tester.schedule.order(third.id), CallOrder::AfterList);
 }
 
 #[test]
-fn list_of_an_agent_that_counts_anew_ends_all_other_calls() {
-    let (mut bench, oldest) = Bench::watching();
-    let (second, _) = bench.begin();
-    let (third, _) = bench.begin();
-    assert_eq!(bench.list(second.id, Update::Restarted), [oldest, third.id]);
-    assert_eq!(bench.until_next(), Duration::ZERO);
+fn list_of_a_restarted_agent_cancels_all_other_calls() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let (second, _) = tester.start_next();
+    let (third, _) = tester.start_next();
+    assert_eq!(tester.on_list(second.id, Update::Restarted), [oldest, third.id]);
+    assert_eq!(tester.until_next(), Duration::ZERO);
 }
 
 #[test]
-fn stale_changes_lead_to_the_complete_list_at_once() {
-    let (mut bench, oldest) = Bench::watching();
-    bench.begin();
-    assert_eq!(bench.list(oldest, Update::Stale), []);
-    assert_eq!(bench.until_next(), Duration::ZERO);
-    assert_eq!(bench.begin().0.hold, None);
+fn stale_changes_cause_a_fetch_of_the_complete_list_immediately() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    tester.start_next();
+    assert_eq!(tester.on_list(oldest, Update::Stale), []);
+    assert_eq!(tester.until_next(), Duration::ZERO);
+    assert_eq!(tester.start_next().0.hold, None);
 }
 
 #[test]
-fn overtaken_list_changes_nothing() {
-    let (mut bench, oldest) = Bench::watching();
-    let (second, _) = bench.begin();
-    let until_next = bench.until_next();
-    assert_eq!(bench.list(oldest, Update::Overtaken), []);
-    assert_eq!(bench.until_next(), until_next);
-    assert_eq!(bench.list(second.id, Update::Changed), []);
+fn superseded_list_changes_nothing() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let (second, _) = tester.start_next();
+    let until_next = tester.until_next();
+    assert_eq!(tester.on_list(oldest, Update::Superseded), []);
+    assert_eq!(tester.until_next(), until_next);
+    assert_eq!(tester.on_list(second.id, Update::Changed), []);
 }
 
-/// A reset may mean that the agent is another process now: changes that are asked for are since a version of
-/// the old one.
+/// A reset may mean that the agent has restarted: watches in flight ask for changes since a version of the old process.
 #[test]
-fn broken_call_ends_the_watches_and_the_complete_list_follows_soon() {
-    let (mut bench, oldest) = Bench::watching();
-    let (second, _) = bench.begin();
-    let (third, _) = bench.begin();
+fn broken_call_cancels_watches_and_the_complete_list_is_fetched_soon() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let (second, _) = tester.start_next();
+    let (third, _) = tester.start_next();
     assert_eq!((second.hold, third.hold), (Some(HOLD), None));
-    assert_eq!(bench.schedule.on_broken(second.id, bench.now), [oldest]);
-    assert_eq!(bench.until_next(), INTERVAL);
-    assert_eq!(bench.begin().0.hold, None);
+    assert_eq!(tester.schedule.on_broken(second.id, tester.now), [oldest]);
+    assert_eq!(tester.until_next(), INTERVAL);
+    assert_eq!(tester.start_next().0.hold, None);
 }
 
-/// Where no descriptor is left, the oldest call's is used, but not before an answer may have come to that.
+/// Without a free file descriptor, the next call takes over that of the oldest call, but only after that call has had
+/// time to be answered.
 #[test]
-fn shortage_ends_the_oldest_call_once_it_is_late_by_half_the_grace_period() {
-    let mut bench = Bench::new();
-    let (oldest, _) = bench.begin();
-    let begun = bench.now;
+fn shortage_cancels_the_oldest_call_once_it_is_late_by_half_the_grace_period() {
+    let mut tester = ScheduleTester::new();
+    let (oldest, _) = tester.start_next();
+    let started = tester.now;
     loop {
-        let (next, _) = bench.begin();
-        let given_up = bench.schedule.on_shortage(next.id, bench.now);
-        if given_up.is_empty() {
-            assert_eq!(bench.until_next(), INTERVAL);
+        let (next, _) = tester.start_next();
+        let cancelled = tester.schedule.on_shortage(next.id, tester.now);
+        if cancelled.is_empty() {
+            assert_eq!(tester.until_next(), INTERVAL);
             continue;
         }
-        assert_eq!(given_up, [oldest.id]);
-        let after = bench.now - begun;
-        assert!((GRACE / 2..GRACE * 3 / 4).contains(&after), "given up after {after:?}");
-        assert_eq!(bench.until_next(), DESCRIPTOR_REUSE_DELAY);
+        assert_eq!(cancelled, [oldest.id]);
+        let after = tester.now - started;
+        assert!((GRACE / 2..GRACE * 3 / 4).contains(&after), "cancelled after {after:?}");
+        assert_eq!(tester.until_next(), DESCRIPTOR_REUSE_DELAY);
         return;
     }
 }
 
 #[test]
-fn shortage_without_another_call_is_tried_again_later() {
-    let mut bench = Bench::new();
-    let (only, _) = bench.begin();
-    assert_eq!(bench.schedule.on_shortage(only.id, bench.now), []);
-    assert_eq!(bench.until_next(), INTERVAL);
+fn call_is_retried_later_after_a_shortage_without_other_calls() {
+    let mut tester = ScheduleTester::new();
+    let (only, _) = tester.start_next();
+    assert_eq!(tester.schedule.on_shortage(only.id, tester.now), []);
+    assert_eq!(tester.until_next(), INTERVAL);
 }
 
 #[test]
 fn list_that_is_too_long_is_not_fetched_again_soon() {
-    let mut bench = Bench::new();
-    let (first, _) = bench.begin();
-    bench.schedule.on_too_long(first.id, bench.now);
-    assert_eq!(bench.until_next(), TOO_LONG_DELAY);
-    assert_eq!(bench.begin().0.hold, None);
+    let mut tester = ScheduleTester::new();
+    let (first, _) = tester.start_next();
+    tester.schedule.on_too_long(first.id, tester.now);
+    assert_eq!(tester.until_next(), TOO_LONG_DELAY);
+    assert_eq!(tester.start_next().0.hold, None);
 }
 
-/// Whatever the settings, some time is left between two calls, and there is a bound on their number.
+/// Even with extreme settings there is some time between two calls, and their number is limited.
 #[test]
-fn times_follow_the_grace_period_within_bounds() {
+fn timing_follows_the_grace_period_within_bounds() {
     for (grace_ms, hold_ms, interval_ms) in
         [(0, 20, 20), (8, 20, 20), (200, 40, 25), (1000, 200, 125), (60_000, 500, 500)]
     {
-        let times = AgentTimes::within(Duration::from_millis(grace_ms));
+        let timing = CallTiming::for_grace(Duration::from_millis(grace_ms));
         let expected = (Duration::from_millis(hold_ms), Duration::from_millis(interval_ms));
-        assert_eq!((times.hold, times.interval), expected, "{grace_ms} ms");
+        assert_eq!((timing.hold, timing.interval), expected, "{grace_ms} ms");
     }
 }
 
 /// A long list may take longer than the grace period to arrive.
 #[test]
-fn call_whose_response_is_being_received_is_not_given_up() {
-    let (mut bench, oldest) = Bench::watching();
-    let (received, _) = bench.begin();
+fn call_whose_response_is_being_received_is_not_cancelled() {
+    let (mut tester, oldest) = ScheduleTester::watching();
+    let (received, _) = tester.start_next();
     for _ in 0..20 {
-        bench.now = bench.now.max(bench.schedule.next_call_at());
-        let (_, given_up) = bench.schedule.begin(bench.now, |id| id == received.id);
-        assert!(!given_up.contains(&received.id) && !given_up.contains(&oldest), "{given_up:?}");
+        tester.now = tester.now.max(tester.schedule.next_call_at());
+        let (_, cancelled) = tester.schedule.start_next(tester.now, |id| id == received.id);
+        assert!(!cancelled.contains(&received.id) && !cancelled.contains(&oldest), "{cancelled:?}");
     }
 }
--- a/src/sidecar/discovery_status.rs
+++ b/src/sidecar/discovery_status.rs
@@ -1,66 +1,66 @@
-//! The state of discovery as this sidecar sees it: which version of the endpoint list is in force, how
-//! long ago discovery confirmed it, and how the calls ended. Operators read it with `show-discovery`.
+//! Status of discovery as this sidecar sees it: the version of the current endpoint list, the time since discovery last
+//! confirmed it, and the outcomes of the calls. Operators read it with `show-discovery`.
 //!
-//! There is no I/O but the log, and the only clock is the one that callers pass in.
+//! The only I/O is logging, and the current time is passed in.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
-/// How long the log is silent after a line that tells of an overdue list: one that is slow all the time
-/// is overdue again and again.
+/// Minimum time between two log lines about an overdue list: with a service that is always slow, the list becomes
+/// overdue again and again.
 const OVERDUE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How a call of discovery ended.
+/// The outcome of a discovery call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// With a list.
+pub enum CallOutcome {
+    /// The call returned a list.
     Answered,
-    /// It was refused or reset, or its response was not a list.
+    /// The call was refused or reset, or its response was not a list.
     Broken,
-    /// Its response did not arrive in time.
+    /// The response did not arrive in time.
     TimedOut,
-    /// Its list was longer than may be read.
+    /// The list was longer than the limit.
     TooLong,
-    /// The lists of other calls took the memory for lists.
+    /// The responses of other calls used up the memory for lists.
     NoMemory,
-    /// It was given up before its response arrived: a newer call was answered, or took its place.
+    /// The call was cancelled in favor of a newer one, or its list was discarded as outdated.
     Superseded,
 }
 
-impl CallEnd {
-    /// All of them, in the order in which they are reported.
-    pub const ALL: [CallEnd; 6] = [
-        CallEnd::Answered,
-        CallEnd::Broken,
-        CallEnd::TimedOut,
-        CallEnd::TooLong,
-        CallEnd::NoMemory,
-        CallEnd::Superseded,
+impl CallOutcome {
+    /// All outcomes, in the order in which they are reported.
+    pub const ALL: [CallOutcome; 6] = [
+        CallOutcome::Answered,
+        CallOutcome::Broken,
+        CallOutcome::TimedOut,
+        CallOutcome::TooLong,
+        CallOutcome::NoMemory,
+        CallOutcome::Superseded,
     ];
 
-    /// The name in statistics.
+    /// Returns the name that is used in statistics.
     pub fn name(self) -> &'static str {
         match self {
-            CallEnd::Answered => "answered",
-            CallEnd::Broken => "broken",
-            CallEnd::TimedOut => "timed_out",
-            CallEnd::TooLong => "too_long",
-            CallEnd::NoMemory => "no_memory",
-            CallEnd::Superseded => "superseded",
+            CallOutcome::Answered => "answered",
+            CallOutcome::Broken => "broken",
+            CallOutcome::TimedOut => "timed_out",
+            CallOutcome::TooLong => "too_long",
+            CallOutcome::NoMemory => "no_memory",
+            CallOutcome::Superseded => "superseded",
         }
     }
 }
 
-/// Since when discovery has confirmed nothing.
+/// The last confirmation of the list by discovery.
 #[derive(Clone, Copy, Debug)]
 struct Confirmation {
-    /// When the newest answered call began: what discovery had then is in force. Before the first
-    /// answer, when the first call began.
+    /// Start of the newest call that was answered: the list is at least as new as that. Before the first answer, the
+    /// start of the first call.
     at: Instant,
-    /// The list counts as overdue.
+    /// Whether the list counts as overdue.
     is_overdue: bool,
-    /// The log has a line that says so.
+    /// Whether it was logged that the list is overdue.
     is_logged: bool,
 }
 
@@ -70,24 +70,24 @@
     }
 }
 
-/// The times and counters of the calls of discovery.
+/// Times and counters of the discovery calls.
 #[derive(Debug, Default)]
 pub struct DiscoveryStatus {
     version: Cell<u64>,
     confirmation: Cell<Option<Confirmation>>,
     answered_at: Cell<Option<Instant>>,
     calls_started: Cell<u64>,
-    calls_ended: [Cell<u64>; CallEnd::ALL.len()],
+    calls_ended: [Cell<u64>; CallOutcome::ALL.len()],
     overdue_periods: Cell<u64>,
     overdue_logged_at: Cell<Option<Instant>>,
     longest_unconfirmed: Cell<Duration>,
     attempts_while_overdue: Cell<u64>,
-    /// The address of the service in the log.
+    /// Address of the service, for the log.
     service: RefCell<String>,
 }
 
 impl DiscoveryStatus {
-    /// Notes that a call begins.
+    /// Records the start of a call.
     pub fn record_call(&self, now: Instant, service: &dyn Display) {
         increment(&self.calls_started);
         if self.confirmation.get().is_none() {
@@ -95,18 +95,18 @@
         }
         let mut known = self.service.borrow_mut();
         known.clear();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = fmt::Write::write_fmt(&mut *known, format_args!("{service}"));
     }
 
-    /// Notes how a call ended that brought no list.
-    pub fn record_end(&self, end: CallEnd) {
-        increment(&self.calls_ended[end as usize]);
+    /// Counts the outcome of a call that returned no list to apply.
+    pub fn record_outcome(&self, outcome: CallOutcome) {
+        increment(&self.calls_ended[outcome as usize]);
     }
 
-    /// Notes that the list of a call that began at `call_started` is in force.
+    /// Records that the list of a call that was started at `call_started` has been applied.
     pub fn record_list(&self, version: u64, call_started: Instant, now: Instant) {
-        self.record_end(CallEnd::Answered);
+        self.record_outcome(CallOutcome::Answered);
         self.version.set(version);
         self.answered_at.set(Some(now));
         let Some(before) = self.confirmation.get() else { return };
@@ -125,7 +125,7 @@
         self.confirmation.set(Some(Confirmation::new(at)));
     }
 
-    /// Has the list count as overdue if discovery has confirmed nothing for longer than `bound`.
+    /// Marks the list as overdue if discovery has not confirmed it for longer than `bound`.
     pub fn check_overdue(&self, now: Instant, bound: Duration, calls_in_flight: usize) {
         let Some(confirmation) = self.confirmation.get() else { return };
         let unconfirmed = now.saturating_duration_since(confirmation.at);
@@ -149,19 +149,19 @@
         );
     }
 
-    /// Counts an attempt that is sent by the present list.
+    /// Counts an attempt that is sent by the current list, if that is overdue.
     pub fn record_attempt(&self) {
         if self.is_overdue() {
             increment(&self.attempts_while_overdue);
         }
     }
 
-    /// Whether the list counts as overdue.
+    /// Returns whether the list counts as overdue.
     pub fn is_overdue(&self) -> bool {
         self.confirmation.get().is_some_and(|confirmation| confirmation.is_overdue)
     }
 
-    /// All figures at `now`.
+    /// Returns all values as of `now`.
     pub fn snapshot(&self, now: Instant) -> DiscoverySnapshot {
         let age = |at: Instant| now.saturating_duration_since(at);
         DiscoverySnapshot {
@@ -173,32 +173,33 @@
             longest_unconfirmed: self.longest_unconfirmed.get(),
             attempts_while_overdue: self.attempts_while_overdue.get(),
             calls_started: self.calls_started.get(),
-            calls_ended: CallEnd::ALL.map(|end| (end, self.calls_ended[end as usize].get())),
+            calls_ended: CallOutcome::ALL
+                .map(|outcome| (outcome, self.calls_ended[outcome as usize].get())),
         }
     }
 }
 
-/// The figures of [`DiscoveryStatus`] at one moment.
+/// The values of [`DiscoveryStatus`] at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiscoverySnapshot {
-    /// The version of the list in force; 0 before the first answer.
+    /// Version of the current list; 0 before the first answer.
     pub version: u64,
-    /// How long ago discovery last answered; none if it never has.
+    /// Time since discovery last answered; `None` if it never has.
     pub last_answer: Option<Duration>,
-    /// For how long discovery has confirmed nothing; none before the first call.
+    /// Time since the last confirmation of the list; `None` before the first call.
     pub unconfirmed: Option<Duration>,
-    /// The list counts as overdue.
+    /// Whether the list counts as overdue.
     pub is_overdue: bool,
-    /// How often the list became overdue.
+    /// Number of times that the list became overdue.
     pub overdue_periods: u64,
-    /// The longest time between two confirmations.
+    /// Longest time between two confirmations of the list.
     pub longest_unconfirmed: Duration,
-    /// Attempts that were sent while the list was overdue.
+    /// Number of attempts that were sent while the list was overdue.
     pub attempts_while_overdue: u64,
-    /// Calls that were started.
+    /// Number of calls that were started.
     pub calls_started: u64,
-    /// Calls by how they ended.
-    pub calls_ended: [(CallEnd, u64); CallEnd::ALL.len()],
+    /// Number of calls by outcome.
+    pub calls_ended: [(CallOutcome, u64); CallOutcome::ALL.len()],
 }
 
 impl Display for DiscoverySnapshot {
@@ -212,14 +213,14 @@
         writeln!(f, "discovery.longest_unconfirmed_ms={longest}")?;
         writeln!(f, "discovery.attempts_while_overdue={}", self.attempts_while_overdue)?;
         writeln!(f, "discovery.calls.started={}", self.calls_started)?;
-        for (end, count) in self.calls_ended {
-            writeln!(f, "discovery.calls.{}={count}", end.name())?;
+        for (outcome, count) in self.calls_ended {
+            writeln!(f, "discovery.calls.{}={count}", outcome.name())?;
         }
         Ok(())
     }
 }
 
-/// A time in milliseconds; -1 without one.
+/// Formats a duration in milliseconds, and `None` as -1.
 struct Age(Option<Duration>);
 
 impl Display for Age {
--- a/src/sidecar/discovery_status/tests.rs
+++ b/src/sidecar/discovery_status/tests.rs
@@ -1,4 +1,4 @@
-//! When a list counts as overdue, and what is counted until it no longer does.
+//! Tests of when a list counts as overdue and of what is counted while it does.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn list_is_overdue_once_nothing_was_confirmed_for_the_bound() {
+fn list_is_overdue_once_it_was_not_confirmed_for_longer_than_the_bound() {
     let (status, start) = (DiscoveryStatus::default(), Instant::now());
     status.record_call(start, &"agent");
     status.check_overdue(after(start, 500), BOUND, 1);
@@ -24,13 +24,13 @@
     assert_eq!(snapshot.last_answer, None);
 }
 
-/// An answer confirms what discovery had when its call began, not when it arrived.
+/// An answer confirms the list as of the start of its call, not as of its own arrival.
 #[test]
 fn answer_confirms_the_list_as_of_the_start_of_its_call() {
     let (status, start) = (DiscoveryStatus::default(), Instant::now());
     status.record_call(start, &"agent");
     status.record_list(41, after(start, 100), after(start, 400));
-    // An older call's answer does not take the confirmation back.
+    // The answer to an older call does not move the confirmation back.
     status.record_list(41, start, after(start, 450));
     let snapshot = status.snapshot(after(start, 500));
     assert_eq!(snapshot.unconfirmed, Some(Duration::from_millis(400)));
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn snapshot_has_a_line_for_each_figure() {
+fn snapshot_has_a_line_for_each_value() {
     let (status, start) = (DiscoveryStatus::default(), Instant::now());
     let unused = status.snapshot(start).to_string();
     assert!(unused.contains("discovery.last_answer_ms=-1\n"), "{unused}");
     status.record_call(start, &"agent");
-    status.record_end(CallEnd::TimedOut);
-    status.record_end(CallEnd::Superseded);
+    status.record_outcome(CallOutcome::TimedOut);
+    status.record_outcome(CallOutcome::Superseded);
     status.record_list(7, start, after(start, 3));
     let text = status.snapshot(after(start, 5)).to_string();
     for line in [
