--- a/crates/gossip/examples/fault_seeds.rs
+++ b/crates/gossip/examples/fault_seeds.rs
@@ -1,9 +1,10 @@
-//! Runs clusters on a virtual clock under faults from seeds: `fault_seeds FROM TO [SIZE] [THREADS]`. Without a size it
-//! is drawn, 8 to 1,000, evenly by its logarithm. Each cluster is healthy for 8 s, faulty for 8 s (partitioned, deaf,
-//! mute, or killed and restarted, all with loss, duplication, garbage and clocks apart) and healthy for 10 s, or 20 s
-//! with 1,000 members.
-//! Checked: the invariants on a tenant's quota and on retries over all of it, and that all members know the cluster
-//! again at the end. Status 1: something did not hold.
+//! Runs clusters on a virtual clock with faults drawn from seeds: `fault_seeds FROM TO [SIZE] [THREADS]`. Without SIZE,
+//! the cluster size is drawn from 8 to 1,000, uniformly in its logarithm. Each cluster is healthy for 8 s, faulty for 8
+//! s (members are partitioned, lose all incoming or all outgoing messages, or are killed and restarted, all with loss,
+//! duplication, garbage messages and different clocks) and healthy for 10 s, or for up to 20 s with 1,000 members.
+//!
+//! Checks the invariants on a tenant's quota and on retries from the start of the fault, and that all members know the
+//! cluster again at the end. The exit status is 1 if a check fails.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -37,7 +38,7 @@
     }
 }
 
-/// Runs all seeds, and prints what does not hold.
+/// Runs all seeds and prints the violations.
 fn run_all(arguments: &Arguments) -> Vec<Outcome> {
     let (next, outcomes) = (AtomicU64::new(arguments.from), Mutex::new(Vec::new()));
     let work = || {
@@ -70,14 +71,18 @@
     healed.sort_by(f64::total_cmp);
     let percentile = |share: f64| healed.get((healed.len() as f64 * share) as usize).copied();
     let falsely_dead = outcomes.iter().map(|o| o.falsely_dead).sum::<usize>();
-    println!("{} seeds, {violated} broken", outcomes.len());
+    println!("{} seeds, {violated} with violations", outcomes.len());
     println!(
-        "most spent of the bound on a quota {:.3}, on repeats {:.3}",
+        "highest share of the maximum: admitted requests {:.3}, retries {:.3}",
         max(|o| o.admitted),
         max(|o| o.retried)
     );
-    println!("records of members falsely gone: {falsely_dead}");
-    println!("most bytes a second and member: {:.0}", max(|o| o.bytes_per_s));
-    println!("s until healed: median {:?}, 99 of 100 {:?}", percentile(0.5), percentile(0.99));
+    println!("records of members falsely declared dead: {falsely_dead}");
+    println!("maximum bytes per second and member: {:.0}", max(|o| o.bytes_per_s));
+    println!(
+        "seconds to recover: median {:?}, 99th percentile {:?}",
+        percentile(0.5),
+        percentile(0.99)
+    );
     if violated == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/gossip/examples/shared_load_reports.rs
+++ b/crates/gossip/examples/shared_load_reports.rs
@@ -1,8 +1,8 @@
-//! What it costs to spread one load over many sidecars, and what shared reports of servers' queues would give back:
-//! `shared_load_reports SEEDS`. Nine servers of two cores at 98 % load, exponential work, latency objectives as the trials
-//! have them. Each request goes to the better of two random servers, by what its sidecar knows: its own requests in
-//! flight and the last load report it received, or the true queue as it was some time ago with its own requests since
-//! then, or the true queue.
+//! Simulates how much latency is lost by spreading one load over many sidecars, and how much of it sharing load reports
+//! between sidecars would regain: `shared_load_reports SEEDS`. There are nine servers with two cores at 98 % load,
+//! exponentially distributed work, and the latency objectives of the trials. Each request goes to the better of two
+//! random servers, by the knowledge of its sidecar: either its own requests in flight and the last load report it has
+//! received, or the queue lengths of some time ago and its own requests since then, or the exact queue lengths.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -12,19 +12,20 @@
 
 const SERVER_COUNT: usize = 9;
 const CORES: usize = 2;
+/// Utilization of the servers.
 const LOAD: f64 = 0.98;
-/// How long a run lasts, in seconds.
+/// Duration of a run, in seconds.
 const DURATION_S: f64 = 300.0;
-/// Answers before this do not count, in seconds.
+/// Time before which answers do not count, in seconds.
 const WARM_UP_S: f64 = 20.0;
-/// A load report that is this old has lost two thirds of its weight, in seconds.
+/// Decay time of load reports, in seconds: at this age, a report has lost about two thirds of its weight.
 const REPORT_DECAY_S: f64 = 0.8;
-/// The queue that is assumed where there is no report.
+/// Queue length that is assumed without a report.
 const ASSUMED_QUEUE: f64 = 3.0;
 
 /// A class of requests.
 struct Class {
-    /// Its share of all requests.
+    /// Share of all requests.
     share: f64,
     mean_work_s: f64,
     objective_s: f64,
@@ -37,14 +38,14 @@
     Class { share: 0.16, mean_work_s: 0.060, objective_s: 0.4 },
 ];
 
-/// What a sidecar decides by.
+/// The knowledge by which a sidecar selects servers.
 #[derive(Clone, Copy)]
 enum Knowledge {
-    /// Its own requests in flight, and the last report that an answer brought.
+    /// Its own requests in flight, and the load report in the last answer.
     Own,
-    /// Queues as they were so many seconds ago, and its own requests since then.
+    /// The queue lengths of this many seconds ago, and its own requests since then.
     Delayed(f64),
-    /// Queues as they are.
+    /// The current queue lengths.
     Exact,
 }
 
@@ -61,28 +62,28 @@
     waiting: VecDeque<usize>,
     busy_cores: usize,
     queue: usize,
-    /// Earlier lengths of the queue, and when it took them.
+    /// Times of changes of the queue length, with the new lengths.
     history: VecDeque<(f64, usize)>,
 }
 
-/// What one sidecar knows of one server.
+/// One sidecar's view of one server.
 #[derive(Clone, Default)]
 struct ServerView {
     in_flight: usize,
-    /// When the last report came, and the queue in it.
+    /// Time of the last load report, and the queue length in it.
     report: (f64, f64),
-    /// When requests were sent.
+    /// Times at which requests were sent.
     sent: VecDeque<f64>,
 }
 
-/// The end of a job's work: its time in nanoseconds, the server, and the job's position there.
+/// The completion of a job: its time in nanoseconds, the server, and the index of the job there.
 type Completion = Reverse<(u64, usize, usize)>;
 
 struct Simulation {
     rng: Pcg64Mcg,
     knowledge: Knowledge,
     servers: Vec<Server>,
-    /// By sidecar and server.
+    /// Views by sidecar and server.
     views: Vec<Vec<ServerView>>,
     completions: BinaryHeap<Completion>,
     answered: u64,
@@ -106,12 +107,12 @@
         }
     }
 
-    /// A number drawn evenly from 0 to 1, both excluded.
+    /// Draws a random number, uniformly distributed from 0 to 1, both excluded.
     fn uniform(&mut self) -> f64 {
         ((self.rng.next_u64() >> 11) as f64 + 0.5) / (1_u64 << 53) as f64
     }
 
-    /// Runs for the whole duration, and returns the share of answers within the objective.
+    /// Runs the simulation and returns the share of answers within the latency objective.
     fn run(mut self) -> f64 {
         let mean_work_s: f64 = CLASSES.iter().map(|class| class.share * class.mean_work_s).sum();
         let rate = LOAD * (SERVER_COUNT * CORES) as f64 / mean_work_s;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// What a sidecar expects to wait for at a server; compared by the first figure, then by the second.
+    /// Returns the load that a sidecar expects at a server, compared by the first value, then by the second.
     fn cost(&mut self, sidecar: usize, at: usize, now: f64) -> (f64, f64) {
         let (server, view) = (&mut self.servers[at], &mut self.views[sidecar][at]);
         match self.knowledge {
@@ -215,18 +216,18 @@
 
 fn main() {
     let seeds: u64 = std::env::args().nth(1).and_then(|a| a.parse().ok()).unwrap_or(5);
-    println!("in time of what is asked at {LOAD} of what servers can do; mean of {seeds} seeds");
+    println!("share of answers within the objective at a load of {LOAD}; mean of {seeds} seeds");
     let show = |name: &str, sidecars: usize, knowledge: Knowledge| {
         let shares = (0..seeds).map(|seed| Simulation::new(sidecars, knowledge, seed).run());
         let mean = shares.sum::<f64>() / seeds as f64;
         println!("{mean:6.3}  {sidecars:3} sidecars, {name}");
     };
-    show("queues as they are", 96, Knowledge::Exact);
+    show("exact queue lengths", 96, Knowledge::Exact);
     for sidecars in [24, 48, 96] {
-        show("what each knows itself", sidecars, Knowledge::Own);
+        show("own requests and load reports", sidecars, Knowledge::Own);
     }
     for ms in [25, 50, 100, 150, 200, 300, 600] {
-        let name = format!("queues {ms} ms ago and own sends since");
+        let name = format!("queue lengths {ms} ms ago and own requests since");
         show(&name, 96, Knowledge::Delayed(f64::from(ms) / 1e3));
     }
 }
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,44 +1,44 @@
-//! What a member is started with.
+//! Configuration of a cluster member.
 
 use thiserror::Error;
 
 use crate::{MAX_MEMBERS, Micros};
 
-/// The tenants whose quotas are shared.
+/// The quotas of the tenants whose demand is shared.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantQuotas {
-    /// A hash of the names of tenants and request classes: members with different names do not exchange values.
+    /// Hash of the names of tenants and request classes. Members with different hashes do not exchange values.
     pub schema: u16,
-    /// The quota of each tenant for the whole cluster, in requests per second.
+    /// Quota of each tenant for the whole cluster, in requests per second.
     pub per_second: Vec<f64>,
 }
 
-/// What a member is started with.
+/// The configuration of a cluster member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The number of this member.
+    /// Number of this member.
     pub local_id: u32,
-    /// The configured size of the cluster; every number is below it.
+    /// Configured number of members; all member numbers are below it.
     pub cluster_size: u32,
-    /// When this member started, by its own clock, in milliseconds of Unix time.
+    /// Start time of this member by its own clock, in milliseconds of Unix time.
     pub started_unix_ms: u64,
-    /// The time between two rounds.
+    /// Time between two gossip rounds.
     pub round_interval: Micros,
-    /// The tenants whose quotas are shared.
+    /// Quotas of the tenants whose demand is shared.
     pub quotas: TenantQuotas,
-    /// The number of request classes.
+    /// Number of request classes.
     pub class_count: usize,
-    /// The seed of everything that is drawn at random.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Why a configuration cannot be used.
+/// The reason why a configuration is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The member's number or the size of the cluster is out of range.
-    #[error("a number below the tier's size, {MAX_MEMBERS} at most, expected")]
+    /// The member number or the cluster size is out of range.
+    #[error("the member number must be below the tier's size, which may be {MAX_MEMBERS} at most")]
     MemberNumber,
     /// The round interval is too short.
-    #[error("a turn of a millisecond or more expected")]
+    #[error("the round interval (turn_ms) must be at least one millisecond")]
     RoundInterval,
 }
--- a/crates/gossip/src/leases.rs
+++ b/crates/gossip/src/leases.rs
@@ -1,30 +1,31 @@
-//! Quota leases and the retry budget: what a member may spend of a limit that holds for the whole cluster. Each
-//! member computes its part from what it knows of all; the parts of all members that exchange messages add up to
-//! the limit.
+//! Quota leases and the retry budget: the part of a cluster-wide limit that one member may use. Each member computes
+//! its part from its estimates of the cluster-wide sums; the parts of all members that exchange messages add up to the
+//! limit.
 
 use crate::Micros;
 
-/// The share of a limit that is divided equally, whatever the demand.
+/// The share of a limit that is divided equally, regardless of demand.
 const EQUAL_SHARE: f64 = 0.1;
-/// A member that exchanges with more than this share of the cluster divides the whole quota. One half, and what the
-/// estimated count may be wrong by.
+/// A member that exchanges values with more than this share of the cluster divides the whole quota. This is one half
+/// plus the error margin of the estimated member count.
 const MAJORITY: f64 = 0.6;
 /// Capacity of a token bucket, in seconds of its rate.
 const BUCKET_SECONDS: f64 = 0.5;
-/// Least capacity of a token bucket: with less, a member with little demand would lose what arrives in bursts.
+/// Minimum capacity of a token bucket, in tokens. With less, a member with little demand would reject requests that
+/// arrive in bursts.
 const MIN_BUCKET_TOKENS: f64 = 3.0;
-/// The share of all requests that may be retried once an attempt has failed.
+/// Retries that may be sent, as a share of all requests.
 pub const RETRY_SHARE: f64 = 0.1;
 
-/// The local lease of `quota` (all figures per second), for a member with the demand `local` where all members
-/// together have the demand `total`, and `reachable` members of `size` exchange messages with this one.
+/// Returns a member's lease of `quota`, for a demand of `local` at this member and of `total` at all members together,
+/// where `reachable` members out of `size`, this one included, exchange messages. All rates are per second.
 pub fn quota_lease(quota: f64, local: f64, total: f64, reachable: f64, size: f64) -> f64 {
     let isolated = quota / size;
     if reachable <= 1.0 {
         return isolated;
     }
-    // Either half of a partitioned cluster would otherwise divide the whole quota, and together they would spend it
-    // twice. The price: where many members have died, the remaining ones get no more than their part.
+    // Otherwise each half of a partitioned cluster would divide the whole quota, and both together would spend it
+    // twice. The drawback: after many members have died, the remaining ones only get their proportional part.
     let pool = if reachable > MAJORITY * size { quota } else { quota * (reachable / size) };
     let total = total.max(local).max(f64::MIN_POSITIVE);
     if total <= pool {
@@ -33,22 +34,24 @@
     (1.0 - EQUAL_SHARE) * pool * local / total + EQUAL_SHARE * pool / reachable
 }
 
-/// Requests per second, and how much of it would be retried.
+/// Rate of requests, and rate of failed attempts that could be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Requests per second.
     pub requests: f64,
-    /// Failed attempts per second that a retry might mend.
+    /// Failed attempts per second that a retry might fix.
     pub failed: f64,
 }
 
-/// Retries per second that a member may send. The cluster has one retry budget, a share of all requests, which is
-/// divided among the members whose attempts fail. A member without a live link has that share of its own requests,
-/// so partitions together spend no more than the whole cluster.
+/// Returns the retries per second that a member may send.
 ///
-/// With a budget for each sidecar alone, a fault that hits all of them would spend every budget, and everything
-/// saved up in them, at the same moment. The price: while the count of failures is under way, a busy failing sidecar
-/// has only its own share.
+/// The cluster has one retry budget, a share of all requests, which is divided among the members whose attempts fail. A
+/// member without a live link may use that share of its own requests, so partitions together spend no more than the
+/// whole cluster would.
+///
+/// With a separate budget for each sidecar, a fault that hits all of them would use up every budget, with all retries
+/// saved in it, at the same moment. The drawback: until its failure rate has spread, a busy sidecar with failures only
+/// has its own share.
 pub fn retry_allowance(local: Demand, total: Demand, reachable: f64) -> f64 {
     let isolated = RETRY_SHARE * local.requests;
     if reachable <= 1.0 {
@@ -62,7 +65,7 @@
     (1.0 - EQUAL_SHARE) * pool * local.failed / failed + EQUAL_SHARE * isolated
 }
 
-/// A lease as it is spent: a token bucket that is refilled at the rate of the lease.
+/// A token bucket that is refilled at the rate of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -73,7 +76,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket with this rate.
+    /// Creates a full bucket with this rate.
     pub fn new(rate_per_s: f64, now: Micros) -> TokenBucket {
         let tokens = TokenBucket::capacity(rate_per_s);
         TokenBucket { rate_per_s, tokens, refilled_at: now, granted: 0, denied: 0 }
@@ -83,17 +86,17 @@
         (rate_per_s * BUCKET_SECONDS).max(MIN_BUCKET_TOKENS)
     }
 
-    /// The rate, in tokens per second.
+    /// Returns the rate, in tokens per second.
     pub fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
 
-    /// Tokens handed out since the bucket was created.
+    /// Returns the number of tokens granted since the bucket was created.
     pub fn granted(&self) -> u64 {
         self.granted
     }
 
-    /// Requests for a token that found the bucket empty, since it was created.
+    /// Returns the number of requests for a token that were denied since the bucket was created.
     pub fn denied(&self) -> u64 {
         self.denied
     }
@@ -105,7 +108,7 @@
         self.tokens = self.tokens.min(TokenBucket::capacity(rate_per_s));
     }
 
-    /// Takes one token if there is one; whether there was.
+    /// Takes one token if one is available, and returns whether it was.
     pub fn try_acquire(&mut self, now: Micros) -> bool {
         self.refill(now);
         let available = self.tokens >= 1.0;
--- a/crates/gossip/src/leases/tests.rs
+++ b/crates/gossip/src/leases/tests.rs
@@ -18,7 +18,7 @@
         if total <= quota {
             assert!(
                 leases.zip(&demand).all(|(l, local)| l >= *local),
-                "demand below the quota is admitted everywhere"
+                "a demand below the quota is admitted at every member"
             );
         }
     }
@@ -44,13 +44,13 @@
         let isolated: f64 = each.iter().map(|local| retry_allowance(*local, *local, 1.0)).sum();
         assert!(
             (isolated - RETRY_SHARE * all.requests).abs() < 1e-9,
-            "all members isolated, together"
+            "the allowances of isolated members add up to the share of all requests"
         );
     }
 }
 
 #[test]
-fn isolated_member_has_its_equal_part_and_partitions_have_no_more_than_the_quota() {
+fn isolated_member_has_an_equal_part_and_a_partition_has_at_most_the_quota() {
     assert_eq!(quota_lease(100.0, 900.0, 900.0, 1.0, 10.0), 10.0);
     let partition = |members| members * quota_lease(100.0, 50.0, 50.0 * members, members, 10.0);
     assert!((partition(5.0) - 50.0).abs() < 1e-9);
@@ -65,10 +65,10 @@
     let granted = |bucket: &mut TokenBucket, from: Micros, to: Micros| {
         (from..to).step_by(1000).filter(|at| bucket.try_acquire(*at)).count()
     };
-    assert_eq!(granted(&mut bucket, 0, 10_000), 5, "its capacity");
+    assert_eq!(granted(&mut bucket, 0, 10_000), 5, "the capacity");
     let count = granted(&mut bucket, 10_000, 10_010_000);
     assert!((99..=101).contains(&count), "{count}");
     bucket.set_rate(0.0, 20_000_000);
-    assert_eq!(granted(&mut bucket, 20_000_000, 30_000_000), 3, "what is left of its capacity");
+    assert_eq!(granted(&mut bucket, 20_000_000, 30_000_000), 3, "the rest of the capacity");
     assert!(bucket.denied() > 9_000);
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,9 +1,9 @@
-//! Gossip between the sidecars of one cluster: membership, sums over all members, and leases of quotas that are
-//! computed from these sums. Time, messages and local events are passed in; messages and a snapshot come out. There
-//! is no I/O and no clock but the time passed in; the same seed gives the same messages.
+//! Gossip between the sidecars of one cluster: membership, sums over all members, and quota leases that are computed
+//! from these sums. The crate is a state machine without I/O: the current time, received messages and local events are
+//! passed in, messages to send and snapshots come out. The same seed and inputs give the same messages.
 //!
-//! `docs/design/tier.md` has the reasons for the design, its sources and the invariant on quotas. The settings and
-//! the operators' pages call this the *tier*.
+//! `docs/design/tier.md` has the reasons for the design, its sources and the invariant on quotas. The settings and the
+//! operators' documentation call the cluster the *tier*.
 
 mod config;
 mod layout;
@@ -23,8 +23,8 @@
 pub use node::{Event, Node, Outgoing};
 pub use snapshot::{LinkCounts, MessageCounts, RetryBudget, Snapshot, TenantSnapshot};
 
-/// Microseconds, on a clock that starts anywhere and never runs backwards.
+/// A time or duration in microseconds, on a monotonic clock with an arbitrary origin.
 pub type Micros = u64;
 
-/// The most members of a cluster: messages have two bytes for a member's number.
+/// Maximum number of members in a cluster: a member number takes two bytes in a message.
 pub const MAX_MEMBERS: u32 = 1 << 16;
--- a/crates/gossip/src/link.rs
+++ b/crates/gossip/src/link.rs
@@ -1,80 +1,80 @@
-//! A link to a neighbor, and what has flowed over it: flow updating (Jesus, Baquero, Almeida, 2009). One of the two
-//! ends initiates an exchange by sending its estimate. The other end owns the flow: it changes it, provided that the
-//! initiator has the last version, and answers with it at once; the initiator takes it over.
+//! A link to a neighbor and the flow over it, by the flow updating algorithm (Jesus, Baquero, Almeida, 2009). One end
+//! initiates an exchange by sending its estimate. The other end owns the flow: if the initiator has the latest version,
+//! the owner updates the flow, and it always replies with the current one immediately. The initiator adopts that flow.
 //!
-//! An end that sent the same estimate to several neighbors before any of their changes came back would be moved by
-//! all of them, and the estimates of all would oscillate ever further. So an exchange is short, and an end that waits
-//! for an answer begins no other.
+//! If an end sent the same estimate to several neighbors before it received any of their updates, all of them would
+//! shift its estimate, and the estimates would oscillate with growing amplitude. An exchange is therefore short, and an
+//! end that waits for an answer initiates no other exchange.
 
 use crate::Micros;
 use crate::message::{MAX_VALUES, Message, Payload};
 use crate::topology::owns_flow;
 
-/// Values, in the order of the message's.
+/// Values by their positions in a message.
 pub type Values = [f64; MAX_VALUES];
 
-/// Estimates beyond this are not averaged.
+/// Values with a larger magnitude are not averaged.
 ///
-/// One member that counts wrong by a factor of a million would dominate all others. The price: a single sidecar with
-/// more than this many requests per second is not accounted for.
+/// Otherwise a single member that reports a rate wrong by a factor of a million would dominate all others. The
+/// drawback: the demand of a sidecar with more requests per second than this is not included.
 pub const MAX_ESTIMATE: f64 = 1e5;
 
-/// How many unanswered exchanges are repeated before all other links have had their turn.
+/// Number of unanswered exchanges on a link that are repeated before the other links have had their turn.
 const MAX_FAST_RETRIES: u32 = 2;
 
-/// Which directions of a link work.
+/// The directions in which a link works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Nothing was received lately.
+    /// Nothing was received within the timeout.
     Silent,
-    /// Messages arrive, but the other end does not receive ours, or gives another meaning to the values.
+    /// Messages are received, but the other end does not acknowledge any, or its values have another schema.
     OneWay,
-    /// Both ends receive.
+    /// Both ends receive each other's messages.
     TwoWay,
 }
 
-/// What a member knows of itself when it sends or receives on a link.
+/// The state of the local member that a link needs to send or receive a message.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalState<'a> {
-    /// Its incarnation as its links have it.
+    /// Incarnation of the local member on its links.
     pub incarnation: u32,
-    /// The schema of its values.
+    /// Schema of its values.
     pub schema: u16,
-    /// Its estimate of the mean.
+    /// Its estimate of the mean over all members.
     pub estimate: &'a Values,
 }
 
-/// One end of a link.
+/// The local end of a link.
 #[derive(Clone, Debug)]
 pub struct Link {
     peer: u32,
-    /// Whether this end changes the flow.
+    /// Whether this end updates the flow.
     owns_flow: bool,
-    /// The neighbor's incarnation; 0: not known.
+    /// Incarnation of the neighbor; 0 if unknown.
     peer_incarnation: u32,
-    /// The last sequence number sent.
+    /// Last sequence number sent.
     last_sent: u32,
-    /// The last sequence number received.
+    /// Last sequence number received.
     last_received: u32,
-    /// The last of our sequence numbers that is known to have arrived.
+    /// Last sequence number sent that the neighbor has acknowledged.
     last_acknowledged: u32,
     received_at: Option<Micros>,
-    /// When a new acknowledgement was last received.
+    /// Time at which a new acknowledgement was last received.
     acknowledged_at: Option<Micros>,
     sent_at: Option<Micros>,
-    /// Messages sent since anything was received.
+    /// Number of messages sent since the last one was received.
     unanswered: u32,
-    /// The values mean the same at both ends.
+    /// Whether both ends have the same schema, so that their values have the same meaning.
     same_schema: bool,
-    /// What has flowed from here to the other end.
+    /// Flow from this end to the other one.
     flow: Values,
-    /// The flow's version; at the end that does not own it, the version taken over; 0: none.
+    /// Version of the flow; at the end that does not own it, the adopted version, or 0 for none.
     flow_version: u32,
     up: bool,
 }
 
 impl Link {
-    /// A link to a neighbor from which nothing was ever received.
+    /// Creates a link to a neighbor from which nothing has been received yet.
     pub fn new(local_id: u32, peer: u32) -> Link {
         let owns_flow = owns_flow(local_id, peer);
         Link {
@@ -95,42 +95,42 @@
         }
     }
 
-    /// The neighbor's number.
+    /// Returns the neighbor's number.
     pub fn peer(&self) -> u32 {
         self.peer
     }
 
-    /// What has flowed from here to the other end while the link is up.
+    /// Returns the flow from this end to the other one; it is zero while the link is down.
     pub fn flow(&self) -> &Values {
         &self.flow
     }
 
-    /// Whether values are exchanged over it.
+    /// Returns whether values are exchanged over the link.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// The neighbor's incarnation; 0 if nothing was ever received from it.
+    /// Returns the neighbor's incarnation; 0 if nothing was ever received from it.
     pub fn peer_incarnation(&self) -> u32 {
         self.peer_incarnation
     }
 
-    /// Whether this end initiates the exchanges.
+    /// Returns whether this end initiates the exchanges.
     pub fn is_initiator(&self) -> bool {
         !self.owns_flow
     }
 
-    /// When something was last received.
+    /// Returns when a message was last received; `None` if none ever was.
     pub fn received_at(&self) -> Option<Micros> {
         self.received_at
     }
 
-    /// When something was last sent.
+    /// Returns when a message was last sent; `None` if none ever was.
     pub fn sent_at(&self) -> Option<Micros> {
         self.sent_at
     }
 
-    /// Which directions work, where what is older than `timeout` does not count.
+    /// Returns the directions in which the link works; messages older than `timeout` do not count.
     pub fn state(&self, now: Micros, timeout: Micros) -> LinkState {
         let is_fresh = |at: Option<Micros>| at.is_some_and(|at| now.saturating_sub(at) < timeout);
         if !is_fresh(self.received_at) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Updates whether the link is up. One that goes down resets its flow.
+    /// Updates whether the link is up. The flow is reset when the link goes down.
     pub fn refresh(&mut self, now: Micros, timeout: Micros) {
         let up = self.state(now, timeout) == LinkState::TwoWay;
         if self.up && !up {
@@ -151,24 +151,26 @@
         self.up = up;
     }
 
-    /// Begins with no flow again, at both ends.
+    /// Resets the flow to zero. Its version then differs from that at the other end, so no values are exchanged until
+    /// the initiator has adopted the owner's flow again.
     pub fn reset_flow(&mut self) {
         self.flow = [0.0; MAX_VALUES];
         self.flow_version = if self.owns_flow { next_flow_version(self.flow_version) } else { 0 };
     }
 
-    /// What orders exchanges: the link with the least time is next.
+    /// Returns the time by which links are ordered for exchanges: the one with the earliest time is next.
     ///
-    /// If the link on which nothing was received for the longest time were always next, a neighbor that has died
-    /// would take every round until it counts as silent, and by then all others would. So a lost exchange is repeated
-    /// soon, but not without end. The price: slower sums where more than half of all messages are lost.
+    /// If the link on which nothing was received for the longest time were always next, a dead neighbor would take
+    /// every round until it counts as silent, and by then so would all others. A lost exchange is therefore repeated
+    /// soon, but only [`MAX_FAST_RETRIES`] times. The drawback: sums converge more slowly if more than half of all
+    /// messages are lost.
     pub fn exchange_order(&self) -> Option<Micros> {
-        // What is received unasked does not put off the next exchange.
+        // A message received outside of an exchange does not postpone the next exchange.
         let is_retried = (1..=MAX_FAST_RETRIES).contains(&self.unanswered);
         if is_retried { self.received_at } else { self.sent_at }
     }
 
-    /// The next message on this link, with `value_count` values and without member records.
+    /// Returns the next message on this link, with `value_count` values and without member records.
     pub fn next_message(
         &mut self,
         local: LocalState<'_>,
@@ -193,10 +195,11 @@
         }
     }
 
-    /// Takes a message in. Returns false if it is old, or of an earlier incarnation, and was ignored.
+    /// Handles a received message. Returns false if it was ignored because its sequence number or incarnation is
+    /// outdated.
     ///
-    /// Replayed messages, and those that were delayed for long, look like new ones. Sequence numbers only rise within
-    /// an incarnation, and incarnations only rise.
+    /// Replayed messages and messages that were delayed for long are otherwise indistinguishable from new ones.
+    /// Sequence numbers increase within an incarnation, and incarnations only increase.
     pub fn receive(&mut self, message: &Message, local: LocalState<'_>, now: Micros) -> bool {
         if message.incarnation < self.peer_incarnation || message.incarnation == 0 {
             return false;
@@ -214,7 +217,7 @@
         self.received_at = Some(now);
         self.unanswered = 0;
         self.same_schema = message.schema == local.schema;
-        // What it acknowledges belongs to an earlier incarnation of ours, or was never sent.
+        // The acknowledged message belongs to an earlier incarnation of this member, or was never sent.
         if message.receiver_incarnation != local.incarnation
             || message.acknowledged > self.last_sent
         {
@@ -237,7 +240,7 @@
         }
         let theirs = message.values.iter().map(|v| f64::from(*v));
         match (self.owns_flow, message.payload) {
-            // Half of the difference, once the other end has what was last sent to it.
+            // Add half of the difference, if the other end has adopted the latest version of the flow.
             (true, Payload::Estimate) if message.flow_version == self.flow_version => {
                 for ((flow, own), theirs) in self.flow.iter_mut().zip(estimate).zip(theirs) {
                     let changed = *flow + (own - theirs) / 2.0;
@@ -256,7 +259,7 @@
     }
 }
 
-/// The version after this one; 0 is not one.
+/// Returns the version after this one. It is never 0, which stands for no version.
 fn next_flow_version(version: u32) -> u32 {
     version.wrapping_add(1).max(1)
 }
--- a/crates/gossip/src/link/tests.rs
+++ b/crates/gossip/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a link's two ends.
+//! Tests of exchanges between the two ends of a link.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 const INITIATOR_INCARNATION: u32 = 7;
 const SCHEMA: u16 = 3;
 
-/// A link's two ends, each with its own value.
+/// The two ends of a link, each with the local value of its member.
 struct Pair {
     owner: Link,
     initiator: Link,
@@ -52,7 +52,7 @@
         self.initiator.next_message(local(INITIATOR_INCARNATION, &estimate), 1, self.now)
     }
 
-    /// The owner of the flow receives an estimate, and answers.
+    /// Lets the owner of the flow receive an estimate. Returns its answer if the message was accepted.
     fn answer(&mut self, request: &Message) -> Option<Message> {
         let estimate = self.owner_estimate();
         let accepted = self.owner.receive(request, local(OWNER_INCARNATION, &estimate), self.now);
@@ -93,18 +93,18 @@
 #[test]
 fn lost_and_duplicated_messages_do_not_change_the_flow_twice() {
     let mut pair = connected_pair();
-    // The answer is lost, and the same estimate is sent again: one change, not two.
+    // The answer is lost and the same estimate is sent again: the flow changes once, not twice.
     let request = pair.initiate();
     assert!(pair.answer(&request).is_some());
     assert!(pair.answer(&request).is_none(), "a duplicate of the request");
     let retry = pair.initiate();
     let answer = pair.answer(&retry).expect("the request is accepted");
-    assert!(pair.finish(&answer) && !pair.finish(&answer), "and a duplicate of the answer");
+    assert!(pair.finish(&answer) && !pair.finish(&answer), "a duplicate of the answer");
     assert_eq!(pair.estimates(), [6.0, 6.0]);
 }
 
 #[test]
-fn messages_of_an_earlier_incarnation_are_ignored_and_a_new_one_begins_without_flow() {
+fn messages_of_an_earlier_incarnation_are_ignored_and_a_new_one_starts_without_flow() {
     let mut pair = connected_pair();
     pair.exchange();
     let old = pair.initiate();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn silent_link_takes_its_flow_back() {
+fn silent_link_resets_its_flow() {
     let mut pair = connected_pair();
     pair.exchange();
     assert!(pair.owner.is_up() && pair.owner.flow()[0] != 0.0);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn unanswered_exchange_is_repeated_soon_but_not_without_end() {
+fn unanswered_exchange_is_repeated_soon_but_a_limited_number_of_times() {
     let mut pair = connected_pair();
     pair.exchange();
     let received_at = pair.initiator.received_at();
@@ -157,5 +157,5 @@
         assert_eq!(pair.initiator.exchange_order(), received_at, "{lost} {request:?}");
     }
     pair.initiate();
-    assert_eq!(pair.initiator.exchange_order(), Some(pair.now), "the others come first");
+    assert_eq!(pair.initiator.exchange_order(), Some(pair.now), "other links come first");
 }
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -1,6 +1,6 @@
-//! The membership table: which members are there, as far as is known here. It follows SWIM (Das, Gupta, Motivala,
-//! 2002). What a neighbor observes is disseminated as updates; only a member itself refutes a suspicion, by a higher
-//! incarnation. Every message also carries a few records in turn, so that every table converges in the end.
+//! The membership table: the states of all members as known to this one. It follows SWIM (Das, Gupta, Motivala, 2002).
+//! Observations of neighbors are disseminated as updates, and a member refutes a suspicion about itself with a higher
+//! incarnation. Every message also carries a few records in round-robin order, so that all tables converge eventually.
 
 use std::collections::VecDeque;
 
@@ -8,38 +8,38 @@
 
 /// A suspected member that does not refute the suspicion within this time is declared dead.
 const SUSPICION_TIMEOUT: Micros = 4_000_000;
-/// Incarnations count eighths of a second; this is the length of one.
+/// Incarnations count eighths of a second; this is the length of one unit.
 const INCARNATION_TICK: Micros = 125_000;
-/// Incarnations further ahead of this member's clock are ignored: one hour.
+/// Incarnations that are further ahead of this member's clock than this are ignored: one hour.
 ///
-/// A forged incarnation from the far future could never be superseded by the member that it is about. The price: no
-/// membership between clocks that differ by more than an hour.
+/// A member could never supersede a forged incarnation of itself from the far future. The drawback: members whose
+/// clocks differ by more than an hour do not recognize each other.
 const MAX_INCARNATION_AHEAD: u32 = 3600 * 8;
 
-/// How often an update is sent: once to each neighbor, in turn, and a few more.
+/// Number of times an update is sent: once to each neighbor and a few more.
 ///
-/// With three times the logarithm of the cluster's size, as where each message goes to a random member, the updates
-/// of four hundred members that come back together would take minutes in a cluster of a thousand, and nobody would
-/// know who is there meanwhile. The price: where most messages are lost, what has not been disseminated by then has
-/// to wait for its turn among all records.
+/// With three times the logarithm of the cluster size, as in protocols that send each message to a random member, the
+/// updates about 400 members that return at the same time would take minutes in a cluster of 1,000, and the tables
+/// would be wrong meanwhile. The drawback: if most messages are lost, updates that have not been disseminated by then
+/// have to wait for their turn in the round-robin order of all records.
 const UPDATE_TRANSMISSIONS: u8 = 10;
 
 /// The state of a member. At the same incarnation a later state supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum MemberState {
-    /// Nothing was ever received about it.
+    /// Nothing was ever received about the member.
     Unknown = 0,
-    /// It is there.
+    /// The member is running.
     Alive = 1,
-    /// A neighbor has not received anything from it lately.
+    /// A neighbor has not received anything from the member within the link timeout.
     Suspect = 2,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead = 3,
 }
 
 impl MemberState {
-    /// The state with this code in a message; `None` for codes of later versions.
+    /// Returns the state with this code in a message; `None` for codes of later versions.
     pub fn from_code(code: u8) -> Option<MemberState> {
         [MemberState::Unknown, MemberState::Alive, MemberState::Suspect, MemberState::Dead]
             .get(usize::from(code))
@@ -47,23 +47,23 @@
     }
 }
 
-/// What is said of a member.
+/// A statement about a member, as sent in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its number.
+    /// Number of the member.
     pub member: u16,
-    /// Its incarnation: the time of its start in eighths of a second since 2025, or more than that.
+    /// Incarnation of the member: its start time in eighths of a second since the beginning of 2025, or a later value.
     pub incarnation: u32,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// How many members are in which state.
+/// Number of known members by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Alive or suspected, and reachable from here.
+    /// Members that are alive or suspected, and reachable from this one.
     pub alive: usize,
-    /// Dead, or not reachable from here.
+    /// Members that are dead or not reachable from this one.
     pub dead: usize,
 }
 
@@ -71,9 +71,9 @@
 struct Entry {
     incarnation: u32,
     state: MemberState,
-    /// When it was set to this state here.
+    /// Time at which this table entered the state.
     state_since: Micros,
-    /// Every path to it leads over dead members. This is local knowledge, which is not sent.
+    /// Whether every path to the member leads over dead members. Computed locally and never sent.
     unreachable: bool,
 }
 
@@ -82,24 +82,24 @@
 pub struct MembershipTable {
     local_id: u32,
     entries: Vec<Entry>,
-    /// The incarnation that this member started with, by its own clock, and when that was.
+    /// Incarnation with which this member started, and the time of the start, both by its own clock.
     start: (u32, Micros),
-    /// Members with news, and how often each is still to be sent.
+    /// Members whose records have changed, and the number of times each update is still to be sent.
     updates: VecDeque<(u16, u8)>,
-    /// The member whose record was sent last in turn.
+    /// Member whose record was sent last in round-robin order.
     cursor: usize,
-    /// A member has died or come back since reachability was last computed.
+    /// Whether a member has died or returned since reachability was last computed.
     reachability_outdated: bool,
-    /// The neighbors of each member.
+    /// Neighbors of each member.
     neighbors: Vec<Vec<u32>>,
 }
 
 impl MembershipTable {
-    /// A table in which `local_id` alone is there. `neighbors` has those of every member.
+    /// Creates a table in which only `local_id` is alive. `neighbors` lists the neighbors of every member.
     ///
     /// # Panics
     ///
-    /// When `local_id` is not a position in `neighbors`.
+    /// Panics if `local_id` is not an index of `neighbors`.
     pub fn new(
         local_id: u32,
         neighbors: Vec<Vec<u32>>,
@@ -127,24 +127,24 @@
         table
     }
 
-    /// This member's incarnation.
+    /// Returns this member's incarnation.
     pub fn incarnation(&self) -> u32 {
         self.entries[self.local_id as usize].incarnation
     }
 
-    /// What was received about a member; `None` for numbers outside the cluster.
+    /// Returns what was received about a member; `None` for numbers outside the cluster.
     pub fn record(&self, member: u32) -> Option<MemberRecord> {
         let entry = self.entries.get(member as usize)?;
         let member = u16::try_from(member).ok()?;
         Some(MemberRecord { member, incarnation: entry.incarnation, state: entry.state })
     }
 
-    /// When a member was set to its state here.
+    /// Returns when this table entered the state of a member; `None` for numbers outside the cluster.
     pub fn state_since(&self, member: u32) -> Option<Micros> {
         self.entries.get(member as usize).map(|entry| entry.state_since)
     }
 
-    /// The record as operators see it: a member that is unreachable from here counts as dead.
+    /// Returns the record as operators see it: a member that is unreachable from this one counts as dead.
     pub fn effective_record(&self, member: u32) -> Option<MemberRecord> {
         let unreachable = self.entries.get(member as usize)?.unreachable;
         let record = self.record(member)?;
@@ -152,7 +152,7 @@
         Some(MemberRecord { state, ..record })
     }
 
-    /// How many of the known members are there.
+    /// Returns the number of known members by state.
     pub fn counts(&self) -> MemberCounts {
         let known = self.entries.iter().filter(|entry| entry.state != MemberState::Unknown);
         let is_alive = |entry: &&Entry| !entry.unreachable && entry.state != MemberState::Dead;
@@ -160,7 +160,7 @@
         MemberCounts { alive, dead: known.count() - alive }
     }
 
-    /// Whether an incarnation is not too far ahead of this member's clock.
+    /// Returns whether an incarnation is at most [`MAX_INCARNATION_AHEAD`] ahead of this member's clock.
     pub fn is_plausible(&self, incarnation: u32, now: Micros) -> bool {
         let (start_incarnation, started_at) = self.start;
         let ticks = (now.saturating_sub(started_at) / INCARNATION_TICK) as u32;
@@ -168,7 +168,7 @@
         incarnation <= present.saturating_add(MAX_INCARNATION_AHEAD)
     }
 
-    /// Raises this member's incarnation, which refutes what is said of it. A lower one is ignored.
+    /// Raises this member's incarnation, which refutes records about earlier ones. A lower incarnation is ignored.
     pub fn refute(&mut self, incarnation: u32, now: Micros) {
         let entry = &mut self.entries[self.local_id as usize];
         if incarnation > entry.incarnation {
@@ -177,11 +177,11 @@
         }
     }
 
-    /// Notes that something was received from a member: it is alive, whatever is said of it.
+    /// Records that a message was received from a member, which proves that it is alive.
     ///
-    /// A member that sends but does not receive cannot refute a suspicion that it never sees; a neighbor that misses
-    /// some of its messages would have it declared dead by all. That its incarnation is raised by others does no
-    /// harm: a member that restarts supersedes it.
+    /// A member that sends but does not receive cannot refute a suspicion that it never sees, so a neighbor that misses
+    /// some of its messages could make all members declare it dead. Raising its incarnation on its behalf is harmless:
+    /// a member that restarts supersedes it.
     pub fn confirm_alive(&mut self, member: u32, now: Micros) {
         if let Some(record) = self.record(member).filter(|r| r.state > MemberState::Alive) {
             let incarnation = record.incarnation + 1;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Takes a received record in. Returns true if it was about this member, which has refuted it.
+    /// Applies a received record. Returns true if it was about this member and had to be refuted.
     pub fn apply(&mut self, record: MemberRecord, now: Micros) -> bool {
         let Some(entry) = self.entries.get(usize::from(record.member)).copied() else {
             return false;
@@ -220,14 +220,14 @@
         must_refute
     }
 
-    /// Suspects a neighbor from which nothing was received lately.
+    /// Suspects a neighbor from which nothing was received within the link timeout.
     pub fn suspect(&mut self, member: u32, now: Micros) {
         if let Some(record) = self.record(member).filter(|r| r.state == MemberState::Alive) {
             self.apply(MemberRecord { state: MemberState::Suspect, ..record }, now);
         }
     }
 
-    /// Declares members dead whose suspicion has timed out, and finds those that are unreachable from here.
+    /// Declares members dead whose suspicion has timed out, and updates which members are unreachable from this one.
     pub fn advance(&mut self, now: Micros) {
         for member in 0..self.entries.len() {
             let entry = &mut self.entries[member];
@@ -243,13 +243,13 @@
         }
     }
 
-    /// Marks members that are connected to this one over dead members only.
+    /// Marks members that are connected to this one only over dead members.
     ///
-    /// Where most of a cluster dies at once, some members die together with all of their neighbors, or next to one
-    /// that lives but is isolated, and nobody would miss them. The price: a member that lives alone among dead ones
-    /// counts as dead, and the others do to it, until one of its neighbors is back. The result is computed and not
-    /// sent: if it were sent, it would be held against members that are back before their neighbors, which refute
-    /// it, and are found unreachable again, without end.
+    /// If most of a cluster dies at the same time, some members die together with all of their neighbors, or only have
+    /// live neighbors that are isolated themselves, so no connected member notices their death. The drawback: a live
+    /// member with only dead neighbors counts as dead, and so do the others to it, until one of its neighbors is back.
+    /// The result is not sent: members that return before their neighbors would refute it and be declared unreachable
+    /// again, without end.
     fn update_reachability(&mut self) {
         let mut visited = vec![false; self.entries.len()];
         visited[self.local_id as usize] = true;
@@ -273,29 +273,30 @@
         self.updates.push_front((member, UPDATE_TRANSMISSIONS));
     }
 
-    /// Records for a message to `receiver`: what the receiver may have to refute, updates, and some records in turn.
-    /// There are about `usual` of them where there are few updates, and never more than `capacity`.
+    /// Returns records for a message to `receiver`: a record that the receiver may have to refute, updates, and some
+    /// records in round-robin order. There are about `base_count` of them while there are few updates, and at most
+    /// `capacity`.
     pub fn records_for(
         &mut self,
         receiver: u32,
-        usual: usize,
+        base_count: usize,
         capacity: usize,
     ) -> Vec<MemberRecord> {
         let mut records: Vec<MemberRecord> = Vec::new();
         records.extend(self.record(receiver).filter(|r| r.state > MemberState::Alive));
-        // Some places are for records in turn, however many updates there are.
-        let usual = usual.min(capacity);
-        let in_turn = usual / 2;
-        let update_count = capacity.saturating_sub(records.len() + in_turn);
-        self.take_updates(update_count, &mut records);
-        let target = usual.max(records.len() + in_turn).min(capacity);
-        self.take_in_turn(target, &mut records);
+        // Some space is reserved for records in round-robin order, regardless of the number of updates.
+        let base_count = base_count.min(capacity);
+        let round_robin_count = base_count / 2;
+        let update_count = capacity.saturating_sub(records.len() + round_robin_count);
+        self.append_updates(update_count, &mut records);
+        let target = base_count.max(records.len() + round_robin_count).min(capacity);
+        self.append_round_robin(target, &mut records);
         records.truncate(capacity);
         records
     }
 
-    /// Appends up to `count` updates, and counts them as sent once more.
-    fn take_updates(&mut self, count: usize, records: &mut Vec<MemberRecord>) {
+    /// Appends up to `count` updates, and counts one transmission of each.
+    fn append_updates(&mut self, count: usize, records: &mut Vec<MemberRecord>) {
         let mut remaining = Vec::new();
         for _ in 0..self.updates.len().min(count) {
             let Some((member, transmissions)) = self.updates.pop_front() else { break };
@@ -305,14 +306,14 @@
             }
         }
         for (member, transmissions) in remaining {
-            // What was sent least goes first: something new does not wait behind many others.
+            // Updates with fewer transmissions are sent first, so that a new update does not wait behind many others.
             let at = self.updates.partition_point(|(_, others)| *others >= transmissions);
             self.updates.insert(at, (member, transmissions));
         }
     }
 
-    /// Appends records of known members in turn, until there are `target` of them.
-    fn take_in_turn(&mut self, target: usize, records: &mut Vec<MemberRecord>) {
+    /// Appends records of known members in round-robin order, until there are `target` records.
+    fn append_round_robin(&mut self, target: usize, records: &mut Vec<MemberRecord>) {
         for _ in 0..self.entries.len() {
             if records.len() >= target {
                 break;
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn higher_incarnation_supersedes_all_and_at_the_same_the_worse_state_does() {
+fn higher_incarnation_or_worse_state_at_the_same_incarnation_supersedes() {
     let mut table = MembershipTable::new(0, neighbors(4), 100, 0);
     let entry = |t: &MembershipTable| t.record(1).map(|r| (r.incarnation, r.state));
     for (received, expected) in [
@@ -36,7 +36,7 @@
     assert!(!table.apply(record(2, 99, MemberState::Dead), 0), "an earlier incarnation");
     assert!(table.apply(record(2, 100, MemberState::Suspect), 0));
     assert_eq!(table.incarnation(), 101);
-    // Its clock was ahead when it started before.
+    // The clock of this member was ahead at an earlier start.
     assert!(table.apply(record(2, 3000, MemberState::Alive), 0));
     assert_eq!(table.incarnation(), 3001);
 }
@@ -49,17 +49,17 @@
     table.advance(4_900_000);
     assert_eq!(table.record(7).map(|r| r.state), Some(MemberState::Suspect));
     let sent = table.records_for(7, 3, 3);
-    assert_eq!(sent[0].member, 7, "it first receives what it may refute");
+    assert_eq!(sent[0].member, 7, "the first record is the one that the receiver may refute");
     table.advance(5_000_000);
     assert_eq!(table.record(7).map(|r| r.state), Some(MemberState::Dead));
-    // Only two members are known: updates run out, and records in turn go on all the same.
+    // Only two members are known: there are no more updates after a while, and records are sent in round-robin order.
     let count = (0..200).filter(|_| table.records_for(9, 1, 1)[0].member == 7).count();
     assert!((10..=110).contains(&count), "{count}");
     assert!(table.updates.is_empty());
 }
 
 #[test]
-fn member_behind_dead_members_counts_as_dead_locally_and_nobody_is_told() {
+fn member_behind_dead_members_counts_as_dead_locally_and_this_is_not_sent() {
     let neighbors = neighbors(40);
     let mut table = MembershipTable::new(0, neighbors.clone(), 100, 0);
     (1..40).for_each(|member| _ = table.apply(record(member, 100, MemberState::Alive), 0));
@@ -75,7 +75,7 @@
     let sent = (0..400).flat_map(|_| table.records_for(0, 6, 20));
     let mut about_isolated = sent.filter(|r| u32::from(r.member) == isolated);
     assert!(about_isolated.all(|r| r.state == MemberState::Alive));
-    // One of its neighbors is back: so is the member, without a message of its own.
+    // Once one of its neighbors is back, so is the member, without a message of its own.
     let neighbor = neighbors[isolated as usize][0] as u16;
     table.apply(record(neighbor, 101, MemberState::Alive), 3);
     table.advance(4);
@@ -88,7 +88,7 @@
     (1..=100).for_each(|member| _ = table.apply(record(member, 100, MemberState::Alive), 0));
     let sent: BTreeSet<u16> =
         (0..5).flat_map(|_| table.records_for(9, 6, 27)).map(|r| r.member).collect();
-    assert!(sent.len() > 100, "in five messages all of a hundred: {}", sent.len());
+    assert!(sent.len() > 100, "five messages contain all hundred updates: {}", sent.len());
     let lengths = (0..200).map(|_| table.records_for(9, 6, 27).len()).collect::<Vec<_>>();
     assert!(lengths[..30].iter().all(|n| *n == 27) && lengths[100..].iter().all(|n| *n == 6));
 }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | 0 | 0xb7: marks a gossip message |
 //! | 1 | version, 1 |
-//! | 2..6 | checksum of everything behind it (CRC-32) |
+//! | 2..6 | checksum of all bytes that follow it (CRC-32) |
 //! | 6..10, 10..14 | incarnations: the sender's, and the receiver's as the sender knows it |
 //! | 14..18, 18..22 | sequence number on this link, and the last one received in the other direction |
 //! | 22..26 | version of the flow |
@@ -14,90 +14,90 @@
 //! | then | values, 4 bytes each (f32) |
 //! | then | member records, 7 bytes each: member (2), incarnation (4), state (1) |
 //!
-//! A later version may append fields. A reader decodes what it knows and ignores the rest.
+//! A later version may append fields. A reader decodes the fields that it knows and ignores the rest.
 
 use thiserror::Error;
 
 use crate::membership::{MemberRecord, MemberState};
 
-/// The longest message, in bytes.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Tenants whose demand is shared; of more, those that come first in the settings.
+/// Maximum number of tenants whose demand is shared: the first ones in the settings.
 pub const MAX_TENANTS: usize = 20;
-/// Request classes whose demand is shared; of more, those that come first in the settings.
+/// Maximum number of request classes whose demand is shared: the first ones in the settings.
 pub const MAX_CLASSES: usize = 8;
-/// Number of values before those of tenants. Behind these follow the failed attempts, and the values of classes.
+/// Number of values before those of tenants, which the retryable failures and the values of classes follow.
 pub const FIXED_VALUES: usize = 5;
-/// The most values in a message.
+/// Maximum number of values in a message.
 pub const MAX_VALUES: usize = FIXED_VALUES + MAX_TENANTS + 1 + MAX_CLASSES;
 
-/// The first byte of every gossip message.
+/// First byte of every gossip message.
 const MAGIC: u8 = 0xb7;
 const VERSION: u8 = 1;
 const HEADER_BYTES: usize = 31;
 const VALUE_BYTES: usize = 4;
 const RECORD_BYTES: usize = 7;
-/// Where the checksum ends, and what it covers begins.
+/// End of the checksum field and start of the bytes that it covers.
 const CHECKSUM_END: usize = 6;
 
-/// What the values of a message are.
+/// The meaning of the values in a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// The sender's estimate of the mean over all members.
     Estimate,
-    /// What has flowed from the sender to the receiver.
+    /// The flow from the sender to the receiver.
     Flow,
 }
 
 /// A gossip message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u32,
-    /// The receiver's incarnation as the sender knows it; 0: not known.
+    /// Incarnation of the receiver as known to the sender; 0 if unknown.
     pub receiver_incarnation: u32,
-    /// Sequence number on this link, rising within an incarnation.
+    /// Sequence number on this link, which increases within an incarnation.
     pub sequence: u32,
-    /// The last sequence number received in the other direction; 0: none.
+    /// Last sequence number received in the other direction; 0 for none.
     pub acknowledged: u32,
-    /// The version of the flow.
+    /// Version of the flow.
     pub flow_version: u32,
-    /// What the values mean: a hash of the names of tenants and classes.
+    /// Schema of the values: a hash of the names of tenants and classes.
     pub schema: u16,
-    /// What the values are.
+    /// Whether the values are an estimate or a flow.
     pub payload: Payload,
-    /// The values.
+    /// Values in the order of the layout.
     pub values: Vec<f32>,
-    /// What the sender knows of some members.
+    /// Records of some members.
     pub records: Vec<MemberRecord>,
 }
 
-/// Why a datagram is not a gossip message.
+/// The reason why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It belongs to another protocol.
+    /// The datagram belongs to another protocol.
     #[error("not a gossip message")]
     ForeignProtocol,
-    /// It is shorter than its counts say.
+    /// The message is shorter than its counts of values and records require.
     #[error("the message is truncated")]
     Truncated,
-    /// Its checksum does not match.
+    /// The checksum does not match.
     #[error("the checksum does not match")]
     Corrupt,
 }
 
 impl Message {
-    /// How many member records fit beside this many values.
+    /// Returns the number of member records that fit into a message with this many values.
     pub fn record_capacity(value_count: usize) -> usize {
         (MAX_MESSAGE_BYTES - HEADER_BYTES).saturating_sub(VALUE_BYTES * value_count) / RECORD_BYTES
     }
 
-    /// Whether a datagram claims to be a gossip message, by its first byte.
+    /// Returns whether the first byte of a datagram marks it as a gossip message.
     pub fn has_magic(data: &[u8]) -> bool {
         data.first() == Some(&MAGIC)
     }
 
-    /// Encodes the message. Values and records beyond the longest message are left out.
+    /// Encodes the message. Values and records that exceed the maximum length are omitted.
     pub fn encode(&self) -> Vec<u8> {
         let values = &self.values[..self.values.len().min(MAX_VALUES)];
         let capacity = Message::record_capacity(values.len());
@@ -126,13 +126,13 @@
     ///
     /// # Errors
     ///
-    /// Why the datagram is not a gossip message.
+    /// Returns an error if the datagram is not a valid gossip message.
     pub fn decode(data: &[u8]) -> Result<Message, DecodeError> {
         if data.first() != Some(&MAGIC) {
             return Err(DecodeError::ForeignProtocol);
         }
         let header = data.get(..HEADER_BYTES).ok_or(DecodeError::Truncated)?;
-        // Version 0 was never sent; any later version begins in the same way.
+        // Version 0 was never in use; all later versions start with the same fields.
         if header[1] == 0 {
             return Err(DecodeError::ForeignProtocol);
         }
@@ -167,7 +167,7 @@
     data.push(record.state as u8);
 }
 
-/// Decodes one record. One with a state that only a later version has is ignored.
+/// Decodes one record; `None` if its state is only known to a later version.
 fn decode_record(bytes: &[u8]) -> Option<MemberRecord> {
     Some(MemberRecord {
         member: u16::from_le_bytes([bytes[0], bytes[1]]),
--- a/crates/gossip/src/message/tests.rs
+++ b/crates/gossip/src/message/tests.rs
@@ -25,7 +25,7 @@
         for by in [2, 0x80] {
             let mut corrupt = data.clone();
             corrupt[at] ^= by;
-            // The version alone precedes the checksum: a later one is decoded.
+            // Only the version is not covered by the checksum, and messages of later versions are decoded.
             assert_eq!(Message::decode(&corrupt).is_ok(), at == 1, "byte {at}");
         }
         assert!(Message::decode(&data[..at]).is_err(), "cut at {at}");
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn later_version_is_decoded_as_far_as_it_is_known() {
+fn known_fields_of_a_later_version_are_decoded() {
     let mut data = message().encode();
     data[1] = 2;
-    // An unknown state in a record, and unknown bytes at the end.
+    // A record with an unknown state, and unknown bytes at the end.
     let last = data.len() - 1;
     data[last] = 200;
     data.extend([1, 2, 3]);
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn longest_message_fits_and_false_counts_are_detected() {
+fn longest_message_fits_and_wrong_counts_are_detected() {
     let record = MemberRecord { member: 1, incarnation: 1, state: MemberState::Alive };
     let full = Message { values: vec![1.0; 60], records: vec![record; 99], ..message() };
     let data = full.encode();
     assert!(data.len() <= MAX_MESSAGE_BYTES, "{}", data.len());
     assert_eq!(Message::decode(&data).expect("a message").values.len(), MAX_VALUES);
-    let mut false_count = message().encode();
-    false_count[30] = 255;
-    let checksum = crc32fast::hash(&false_count[6..]);
-    false_count[2..6].copy_from_slice(&checksum.to_le_bytes());
-    assert_eq!(Message::decode(&false_count), Err(DecodeError::Truncated));
+    let mut wrong_count = message().encode();
+    wrong_count[30] = 255;
+    let checksum = crc32fast::hash(&wrong_count[6..]);
+    wrong_count[2..6].copy_from_slice(&checksum.to_le_bytes());
+    assert_eq!(Message::decode(&wrong_count), Err(DecodeError::Truncated));
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,4 +1,4 @@
-//! One member's state machine: gossip rounds, received messages, local events, leases.
+//! The state machine of one member: gossip rounds, received messages, local events and leases.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,95 +16,97 @@
 use crate::topology::neighbors;
 use crate::{MAX_MEMBERS, Micros};
 
-/// The shortest round that can be configured.
+/// Minimum configurable round interval.
 const MIN_ROUND_INTERVAL: Micros = 1_000;
-/// A link is silent after this many rounds. On each link an exchange is initiated every eight rounds at the latest.
+/// A link counts as silent after this many rounds without a message. An exchange is initiated on each link at least
+/// every eight rounds.
 const LINK_TIMEOUT_ROUNDS: Micros = 40;
-/// One of this many rounds goes to a silent link: its neighbor may be back.
+/// One out of this many rounds is spent on a silent link, since its neighbor may be back.
 const SILENT_LINK_ROUNDS: u64 = 4;
-/// The time constant, in rounds, of the running mean of estimates.
+/// Time constant, in rounds, of the exponential moving average of estimates.
 ///
-/// Local events enter this member's own estimate at once, and take some exchanges to spread; without the mean, a busy
-/// member would believe that all others are as busy. The price: a sudden change is known later.
+/// Local events change this member's own estimate immediately, but take some exchanges to spread. Without the average,
+/// a busy member would assume that all others are as busy. The drawback: a sudden change becomes known later.
 const SMOOTHING_ROUNDS: f64 = 3.0;
-/// How long an initiator waits for its answer before it begins another exchange: a message takes 39 ms at the most,
-/// each way.
+/// Time for which an initiator waits for an answer before it starts another exchange. A message takes at most 39 ms in
+/// each direction.
 const ANSWER_TIMEOUT: Micros = 80_000;
-/// Member records in a message where there are few updates.
-const USUAL_RECORDS: usize = 6;
-/// Retries may be saved up for this many seconds.
+/// Number of member records in a message while there are few updates.
+const BASE_RECORDS: usize = 6;
+/// Unused retries are saved for up to this many seconds of the allowance.
 const MAX_SAVED_RETRY_SECONDS: f64 = 0.5;
-/// Saved retries that are always allowed: one failure among many successes is retried.
+/// Minimum number of retries that may be saved, so that a single failure among many successes can be retried.
 const MIN_SAVED_RETRIES: f64 = 1.0;
-/// The beginning of 2025 in Unix time, from which incarnations are counted.
+/// Origin of incarnations: the beginning of 2025, in milliseconds of Unix time.
 const INCARNATION_EPOCH_MS: u64 = 1_735_689_600_000;
-/// Incarnations count eighths of a second.
+/// Incarnations count eighths of a second; this is the length of one unit, in milliseconds.
 const INCARNATION_TICK_MS: u64 = 125;
 
-/// Something that happened at this member.
+/// A local event at this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An attempt was sent.
     Attempt,
-    /// The attempt was a retry.
+    /// The attempt that was sent is a retry; counted in addition to [`Event::Attempt`].
     Retry,
     /// A request was rejected.
     Rejected,
     /// A request failed.
     Failed,
-    /// An attempt failed that a retry might mend.
+    /// An attempt failed in a way that a retry might fix.
     RetryableFailure,
 }
 
 /// A message to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The number of the member that it is for.
+    /// Number of the member that the message is for.
     pub receiver: u32,
-    /// The datagram.
+    /// Encoded message.
     pub data: Vec<u8>,
 }
 
-/// An exchange that waits for its answer.
+/// An exchange that waits for an answer.
 #[derive(Clone, Copy, Debug)]
 struct PendingExchange {
     peer: u32,
     expires_at: Micros,
 }
 
-/// One member of the cluster.
+/// The state machine of one member.
 #[derive(Debug)]
 pub struct Node {
     config: Config,
     rng: Pcg64Mcg,
-    /// The incarnation of this process on its links: rises with every start, as far as any neighbor remembers.
+    /// Incarnation of this process on its links. It increases with every start, as far as any neighbor remembers the
+    /// previous one.
     link_incarnation: u32,
     members: MembershipTable,
     links: Vec<Link>,
     rates: RateWindow,
-    /// This member's own values.
+    /// Local values of this member.
     local: Values,
-    /// The running mean of estimates just after exchanges.
+    /// Moving average of the estimates after exchanges.
     smoothed: Values,
-    /// When the last exchange was; `None` while no link is up.
+    /// Time of the last exchange; `None` while no link is up.
     smoothed_at: Option<Micros>,
-    /// The lease of each tenant.
+    /// Lease of each tenant.
     leases: Vec<TokenBucket>,
     retry_budget: RetryBudget,
-    /// When the next round is due, unless an answer is waited for until later.
+    /// Time of the next round, unless the pending exchange expires later.
     next_round_at: Micros,
     round_count: u64,
     pending: Option<PendingExchange>,
     messages: MessageCounts,
 }
 
-/// The incarnation of a process that started at this time; 1 at the least.
+/// Returns the incarnation of a process that started at this time; at least 1.
 fn incarnation_at(unix_ms: u64) -> u32 {
     let ticks = unix_ms.saturating_sub(INCARNATION_EPOCH_MS) / INCARNATION_TICK_MS;
     u32::try_from(ticks).unwrap_or(u32::MAX / 2).max(1)
 }
 
-/// Full buckets with the leases of a member without a live link.
+/// Returns full buckets with the leases of a member without a live link.
 fn isolated_leases(config: &Config, now: Micros) -> Vec<TokenBucket> {
     let size = f64::from(config.cluster_size);
     let quotas = config.quotas.per_second.iter();
@@ -112,12 +114,12 @@
 }
 
 impl Node {
-    /// A member that has received nothing yet. Tenants and classes beyond [`MAX_TENANTS`] and [`MAX_CLASSES`] are
-    /// not shared.
+    /// Creates a member that has not received any message yet. The demand of tenants and classes beyond [`MAX_TENANTS`]
+    /// and [`MAX_CLASSES`] is not shared.
     ///
     /// # Errors
     ///
-    /// The part of the configuration that is out of range.
+    /// Returns an error if a part of the configuration is out of range.
     pub fn new(mut config: Config, now: Micros) -> Result<Node, ConfigError> {
         if config.cluster_size > MAX_MEMBERS || config.local_id >= config.cluster_size {
             return Err(ConfigError::MemberNumber);
@@ -141,7 +143,7 @@
             smoothed_at: None,
             leases: isolated_leases(&config, now),
             retry_budget: RetryBudget { per_request: RETRY_SHARE, max_saved: MIN_SAVED_RETRIES },
-            // All members may start at once: their first rounds are spread over one interval.
+            // All members may start at the same time, so their first rounds are spread over one interval.
             next_round_at: now + rng.next_u64() % config.round_interval,
             round_count: rng.next_u64() % SILENT_LINK_ROUNDS,
             pending: None,
@@ -151,7 +153,7 @@
         })
     }
 
-    /// Puts other quotas in force, possibly of other tenants.
+    /// Replaces the quotas, possibly by those of other tenants.
     pub fn reconfigure(&mut self, quotas: TenantQuotas, now: Micros) {
         let previous = std::mem::replace(&mut self.config.quotas, quotas);
         self.config.quotas.per_second.truncate(MAX_TENANTS);
@@ -161,26 +163,26 @@
             self.rates = RateWindow::new(MAX_VALUES, now);
             self.links.iter_mut().for_each(Link::reset_flow);
             self.leases = isolated_leases(&self.config, now);
-            // What was known of other tenants does not hold for these.
+            // Averages for the previous tenants are not valid for the new ones.
             self.smoothed[FIXED_VALUES..].fill(0.0);
             self.smoothed_at = None;
         }
         self.refresh(now);
     }
 
-    /// When [`Node::poll`] is to be called next, unless a message is received before.
+    /// Returns when [`Node::poll`] is to be called next, unless a message is received before that.
     pub fn next_deadline(&self) -> Micros {
         self.pending
             .map_or(self.next_round_at, |pending| self.next_round_at.max(pending.expires_at))
     }
 
-    /// Runs a gossip round if one is due, and returns the message to be sent.
+    /// Runs a gossip round if one is due, and returns the message to send; `None` if there is none.
     pub fn poll(&mut self, now: Micros) -> Option<Outgoing> {
         if now < self.next_deadline() {
             return None;
         }
         self.pending = None;
-        // From nine tenths to eleven: no two members stay synchronized.
+        // Rounds are randomized to 0.9 to 1.1 intervals, so that members do not stay synchronized.
         let interval = self.config.round_interval;
         self.next_round_at = now + interval * 9 / 10 + self.rng.next_u64() % (interval / 5).max(1);
         self.round_count += 1;
@@ -193,21 +195,22 @@
             let expires_at = now + ANSWER_TIMEOUT;
             self.pending = Some(PendingExchange { peer: receiver, expires_at });
         }
-        Some(Outgoing { receiver, data: self.write_message(index, now) })
+        Some(Outgoing { receiver, data: self.build_message(index, now) })
     }
 
     fn suspect_silent_neighbors(&mut self, now: Micros) {
         let timeout = self.link_timeout();
         for link in &self.links {
-            // A neighbor from which nothing was ever received is not missed.
+            // A neighbor from which nothing was ever received is not suspected.
             if link.peer_incarnation() != 0 && link.state(now, timeout) == LinkState::Silent {
                 self.members.suspect(link.peer(), now);
             }
         }
     }
 
-    /// The link of this round, and whether an exchange is initiated on it. Links on which this end initiates come in
-    /// turn, now and then a silent one. A member that receives nothing sends on all of its links.
+    /// Returns the link of this round, and whether an exchange is initiated on it. Links on which this end initiates
+    /// are selected in turn, and every [`SILENT_LINK_ROUNDS`] rounds a silent link is. A member that receives nothing
+    /// sends on all of its links in turn.
     fn select_link(&self, now: Micros) -> Option<(usize, bool)> {
         let timeout = self.link_timeout();
         let is_silent = |n: &usize| self.links[*n].state(now, timeout) == LinkState::Silent;
@@ -221,7 +224,7 @@
         Some((index, Some(index) == exchange))
     }
 
-    fn write_message(&mut self, index: usize, now: Micros) -> Vec<u8> {
+    fn build_message(&mut self, index: usize, now: Micros) -> Vec<u8> {
         let (estimate, value_count) = (self.estimate(), self.layout().value_count());
         let local = LocalState {
             incarnation: self.link_incarnation,
@@ -231,12 +234,12 @@
         let link = &mut self.links[index];
         let mut message = link.next_message(local, value_count, now);
         let capacity = Message::record_capacity(value_count);
-        message.records = self.members.records_for(link.peer(), USUAL_RECORDS, capacity);
+        message.records = self.members.records_for(link.peer(), BASE_RECORDS, capacity);
         self.messages.sent += 1;
         message.encode()
     }
 
-    /// Takes a datagram from a peer in. What is returned is the answer to that peer.
+    /// Handles a datagram from a peer, and returns the answer to that peer if there is one.
     pub fn receive(&mut self, from: u32, data: &[u8], now: Micros) -> Option<Vec<u8>> {
         let message = match Message::decode(data) {
             Ok(message) => message,
@@ -265,16 +268,16 @@
         if self.links[index].is_up() {
             self.update_smoothed(now);
         }
-        // Only an initiator's message is answered, so no answer leads to another.
+        // Only an initiator's message is answered, so that answers do not cause further answers.
         let is_request = message.payload == Payload::Estimate && !self.links[index].is_initiator();
-        is_request.then(|| self.write_message(index, now))
+        is_request.then(|| self.build_message(index, now))
     }
 
-    /// Whether a message on a link is neither old nor implausible; its values are exchanged then.
+    /// Returns whether a message on a link is neither outdated nor implausible. If so, its values are exchanged.
     fn accept(&mut self, index: usize, message: &Message, now: Micros) -> bool {
         let estimate = self.estimate();
         let peer = self.links[index].peer();
-        // An incarnation from the far future would shut out the true ones after it: the table ignores it.
+        // The table ignores an incarnation from the far future, which no valid incarnation could supersede.
         let sender = MemberRecord {
             member: peer as u16,
             incarnation: message.incarnation,
@@ -282,7 +285,8 @@
         };
         self.members.apply(sender, now);
         let known_incarnation = self.members.record(peer).map_or(0, |record| record.incarnation);
-        // A member whose clock is behind what it was at an earlier start would be ignored by all.
+        // If the clock of this member is behind its state at an earlier start, all others would ignore its messages, so
+        // it adopts a higher incarnation than the one that the neighbor remembers.
         let remembered = message.receiver_incarnation;
         if remembered > self.link_incarnation && self.members.is_plausible(remembered, now) {
             self.link_incarnation = remembered + 1;
@@ -304,8 +308,8 @@
         }
     }
 
-    /// Counts a request of a class and a tenant. Returns whether it is within what may be spent here of the tenant's
-    /// quota, which is always so for a tenant that is not shared.
+    /// Counts a request of a class and a tenant. Returns whether it is within this member's lease of the tenant's
+    /// quota; always true for a tenant whose demand is not shared.
     pub fn try_admit(&mut self, class: usize, tenant: usize, now: Micros) -> bool {
         let layout = self.layout();
         if class < layout.class_count {
@@ -316,7 +320,7 @@
         lease.try_acquire(now)
     }
 
-    /// Counts an event at this member.
+    /// Counts a local event.
     pub fn record(&mut self, event: Event, now: Micros) {
         let position = match event {
             Event::Attempt => ATTEMPTS,
@@ -328,7 +332,7 @@
         self.rates.record(position, now);
     }
 
-    /// How many retries this member may send, as of its last round.
+    /// Returns the retries that this member may send, as of its last round.
     pub fn retry_budget(&self) -> RetryBudget {
         self.retry_budget
     }
@@ -339,7 +343,7 @@
         Demand { requests, failed: values[layout.retryable_failures()] }
     }
 
-    /// Takes the estimate after an exchange into the running mean.
+    /// Adds the estimate after an exchange to the moving average.
     fn update_smoothed(&mut self, now: Micros) {
         let estimate = self.estimate();
         let weight = match self.smoothed_at {
@@ -355,13 +359,13 @@
         self.smoothed_at = Some(now);
     }
 
-    /// After this time without a message a link is silent. A member that waits for answers has its rounds no sooner
-    /// than these arrive.
+    /// Returns the time without a message after which a link counts as silent. With short round intervals, the time
+    /// that answers take limits the rounds, since a member waits for an answer before its next round.
     fn link_timeout(&self) -> Micros {
         LINK_TIMEOUT_ROUNDS * self.config.round_interval.max(ANSWER_TIMEOUT / 2)
     }
 
-    /// Brings links, this member's own values, leases and the retry budget up to date.
+    /// Updates the links, the local values, the leases and the retry budget.
     fn refresh(&mut self, now: Micros) {
         let timeout = self.link_timeout();
         self.links.iter_mut().for_each(|link| link.refresh(now, timeout));
@@ -395,14 +399,14 @@
         let (local, mean) = (self.demand(&self.local), self.demand(&self.smoothed));
         let total = Demand { requests: reachable * mean.requests, failed: reachable * mean.failed };
         let allowance = retry_allowance(local, total, reachable);
-        // At a member without recent requests the next request is its first.
+        // A member without recent requests has no rate to divide by, so the next request gets the plain share.
         let per_request =
             if local.requests > 0.0 { (allowance / local.requests).min(1.0) } else { RETRY_SHARE };
         let max_saved = (allowance * MAX_SAVED_RETRY_SECONDS).max(MIN_SAVED_RETRIES);
         self.retry_budget = RetryBudget { per_request, max_saved };
     }
 
-    /// This member's estimate of the mean over all members that exchange values.
+    /// Returns this member's estimate of the mean over all members that exchange values.
     fn estimate(&self) -> Values {
         let mut estimate = self.local;
         for link in self.links.iter().filter(|link| link.is_up()) {
@@ -417,7 +421,7 @@
         self.links.iter().filter(|link| link.is_up()).count()
     }
 
-    /// The estimated number of members that exchange values, this one among them.
+    /// Returns the estimated number of members that exchange values, this one included.
     fn reachable_members(&self) -> f64 {
         if self.links_up() == 0 {
             return 1.0;
@@ -426,7 +430,7 @@
         (1.0 + (size - 1.0) * self.smoothed[LINKS_UP]).clamp(1.0, size)
     }
 
-    /// What is known at `now`.
+    /// Returns this member's view of the cluster as of `now`.
     pub fn snapshot(&mut self, now: Micros) -> Snapshot {
         self.refresh(now);
         let (layout, reachable) = (self.layout(), self.reachable_members());
@@ -459,7 +463,7 @@
         }
     }
 
-    /// What is known of every member, and how long each has been in its state.
+    /// Returns the record of every member and the time for which it has been in its state.
     pub fn members(&self, now: Micros) -> Vec<(MemberRecord, Micros)> {
         let member = |id| {
             let since = self.members.state_since(id)?;
--- a/crates/gossip/src/rate_window/tests.rs
+++ b/crates/gossip/src/rate_window/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn rate_covers_the_window_and_nothing_before_it() {
+fn rate_covers_only_events_within_the_window() {
     let mut rates = RateWindow::new(2, 0);
     for n in 0..400 {
         rates.record(1, n * 5_000);
--- a/crates/gossip/src/snapshot.rs
+++ b/crates/gossip/src/snapshot.rs
@@ -1,68 +1,68 @@
-//! What a member knows of its cluster at one time, for operators and for the balancer.
+//! A member's view of its cluster at one time, for operators and for the balancer.
 
 use crate::Micros;
 use crate::membership::MemberCounts;
 
-/// How many retries a member may send.
+/// The number of retries that a member may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries granted for each request that arrives.
     pub per_request: f64,
-    /// The most retries that may be saved up.
+    /// Maximum number of unused retries that may be saved.
     pub max_saved: f64,
 }
 
-/// What a member knows of one tenant.
+/// A member's view of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSnapshot {
     /// Requests per second at all reachable members.
     pub demand_per_s: f64,
     /// Requests per second at this member.
     pub local_demand_per_s: f64,
-    /// The quota of the whole cluster, per second.
+    /// Quota for the whole cluster, in requests per second.
     pub quota_per_s: f64,
-    /// The part of the quota that may be spent at this member, per second.
+    /// Part of the quota leased to this member, in requests per second.
     pub lease_per_s: f64,
-    /// Requests within the lease, since the start.
+    /// Number of requests within the lease since the start.
     pub within_lease: u64,
-    /// Requests beyond the lease, since the start.
+    /// Number of requests beyond the lease since the start.
     pub beyond_lease: u64,
 }
 
-/// How many links there are.
+/// Number of links of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Links over which values are exchanged.
+    /// Number of links over which values are exchanged.
     pub up: usize,
-    /// All links of this member.
+    /// Number of all links.
     pub total: usize,
 }
 
-/// Messages since the start.
+/// Number of messages since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// Sent.
+    /// Messages sent.
     pub sent: u64,
-    /// Received and used.
+    /// Messages received and used.
     pub received: u64,
-    /// Ignored because they were truncated or corrupt.
+    /// Messages ignored because they were truncated or corrupt.
     pub corrupt: u64,
-    /// Ignored because they were old, or from no neighbor.
+    /// Messages ignored because they were outdated or not from a neighbor.
     pub stale: u64,
 }
 
-/// What a member knows of its cluster. Rates are sums over all reachable members.
+/// A member's view of its cluster. Rates are sums over all reachable members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// This member's incarnation.
+    /// Incarnation of this member.
     pub incarnation: u32,
-    /// Estimated number of members with which values are exchanged, directly or not, this one among them.
+    /// Estimated number of members that exchange values with this one, directly or indirectly, this one included.
     pub reachable_members: f64,
-    /// Members by their state in the membership table.
+    /// Number of members by state.
     pub members: MemberCounts,
-    /// Links of this member.
+    /// Number of links of this member.
     pub links: LinkCounts,
-    /// How long ago anything was received on any link; `None` if nothing ever was.
+    /// Time since a message was last received on any link; `None` if none ever was.
     pub last_received_age: Option<Micros>,
     /// Attempts per second.
     pub attempts_per_s: f64,
@@ -72,14 +72,14 @@
     pub rejected_per_s: f64,
     /// Failed requests per second.
     pub failed_per_s: f64,
-    /// Failed attempts per second that a retry might mend.
+    /// Failed attempts per second that a retry might fix.
     pub retryable_failures_per_s: f64,
-    /// How many retries this member may send.
+    /// Retries that this member may send.
     pub retry_budget: RetryBudget,
     /// Requests per second of each class.
     pub class_demand_per_s: Vec<f64>,
-    /// What is known of each tenant, in the order of the settings.
+    /// Demand, quota and lease of each tenant, in the order of the settings.
     pub tenants: Vec<TenantSnapshot>,
-    /// Messages since the start.
+    /// Number of messages since the start.
     pub messages: MessageCounts,
 }
--- a/crates/gossip/src/topology.rs
+++ b/crates/gossip/src/topology.rs
@@ -1,13 +1,14 @@
-//! Topology: which members exchange messages. All member numbers are arranged in several rings, each in an order
-//! drawn by hashing; a member's neighbors are those next to it on each ring. Every member computes the same rings.
+//! The topology that determines which members exchange messages. All member numbers are arranged in several rings, each
+//! in its own order given by hashing; a member's neighbors are the adjacent ones on each ring. Every member computes
+//! the same rings.
 
 /// Number of rings; a member has two neighbors on each.
 const RING_COUNT: u32 = 4;
-/// Up to this cluster size every member is a neighbor of every other: counts that are derived from links are exact
-/// then, and rings of few members carry little information.
+/// Up to this cluster size every member is a neighbor of every other. Member counts derived from the links are then
+/// exact, whereas rings of few members give little information about the count.
 const FULL_MESH_SIZE: u32 = 17;
 
-/// The neighbors of every member of a cluster of `size`, by member number, sorted and without duplicates.
+/// Returns the neighbors of every member of a cluster of `size`, by member number, sorted and without duplicates.
 pub fn neighbors(size: u32) -> Vec<Vec<u32>> {
     if size <= FULL_MESH_SIZE {
         return (0..size).map(|id| (0..size).filter(|n| *n != id).collect()).collect();
@@ -28,8 +29,8 @@
     all
 }
 
-/// Whether `local` is the end of the link to `peer` that changes its flow; the other end initiates the exchanges.
-/// Drawn by hashing, so that no member initiates on all of its links.
+/// Returns whether `local` is the end of the link to `peer` that updates its flow; the other end initiates the
+/// exchanges. This is decided by a hash, so that no member initiates on all of its links.
 pub fn owns_flow(local: u32, peer: u32) -> bool {
     let (low, high) = (local.min(peer), local.max(peer));
     (mix(u64::from(low) << 32 | u64::from(high)) & 1 == 0) == (local == low)
--- a/crates/gossip/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Messages as version 0.2.0 wrote them: each is decoded, and encoded to the same bytes.
+//! Messages encoded by version 0.2.0 are decoded, and encoded to the same bytes.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// The bytes of a fixture; they are written as hexadecimal digits, a message on each line.
+/// Reads the messages of a fixture, which has one message per line in hexadecimal digits.
 fn lines(name: &str) -> Vec<Vec<u8>> {
     let text = std::fs::read_to_string(fixture(name)).expect("a fixture");
     let byte = |at: usize, line: &str| u8::from_str_radix(&line[at..at + 2], 16).expect("digits");
@@ -55,9 +55,9 @@
 }
 
 fn check(name: &str, message: &Message) {
-    let written = lines(name);
-    assert_eq!(Message::decode(&written[0]).as_ref(), Ok(message), "{name} is decoded");
-    assert_eq!(message.encode(), written[0], "{name} is encoded as before");
+    let messages = lines(name);
+    assert_eq!(Message::decode(&messages[0]).as_ref(), Ok(message), "{name} is decoded");
+    assert_eq!(message.encode(), messages[0], "{name} is encoded as before");
 }
 
 #[test]
@@ -75,8 +75,8 @@
     check("records.hex", &every_record());
 }
 
-/// Two members of a cluster of three from their first messages on. The third is never there, and is tried now and
-/// then.
+/// Runs two members of a cluster of three from their start and returns all of their messages. The third member is never
+/// running; the others send to it now and then.
 fn conversation() -> Vec<Vec<u8>> {
     let config = |local_id| gossip::Config {
         local_id,
--- a/src/sidecar/gossip.rs
+++ b/src/sidecar/gossip.rs
@@ -1,5 +1,5 @@
-//! This sidecar's membership in its tier: local events go in, gossip messages go out to the other sidecars and come
-//! in from them. The state machine itself is the crate `gossip`.
+//! Connects the gossip state machine of the crate `gossip` to this sidecar: passes local events and received messages
+//! to it, and sends its messages to the other sidecars of the tier.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use super::config::Config;
 use super::peers::Peers;
 
-/// The longest sleep between two looks at the next deadline, which a received message may bring forward.
+/// Maximum time between two checks of the next deadline, which a received message may bring forward.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Why a sidecar cannot take part in its tier.
+/// The configuration error that keeps a sidecar from taking part in its tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("tier: {0}")]
 pub struct MembershipError(#[from] ConfigError);
@@ -34,11 +34,11 @@
 }
 
 impl<P: Runtime> Membership<P> {
-    /// The membership that a configuration asks for; `None` if it asks for none, or the settings do not allow it.
+    /// Creates the membership for a configuration; `None` if gossip is not configured or the settings do not allow it.
     ///
     /// # Errors
     ///
-    /// The setting that cannot be used.
+    /// Returns an error if a setting is out of range.
     pub fn new(
         config: &Config,
         peers: Option<&Rc<Peers<P>>>,
@@ -72,28 +72,28 @@
         P::elapsed_since(self.started_at).as_micros() as Micros
     }
 
-    /// Counts a request of a class and a tenant. Returns whether it is within what may be spent here of the tenant's
+    /// Counts a request of a class and a tenant. Returns whether it is within this sidecar's lease of the tenant's
     /// quota.
     pub fn try_admit(&self, class: usize, tenant: usize) -> bool {
         self.node.borrow_mut().try_admit(class, tenant, self.now())
     }
 
-    /// How many retries this sidecar may send.
+    /// Returns the number of retries that this sidecar may send.
     pub fn retry_budget(&self) -> RetryBudget {
         self.node.borrow().retry_budget()
     }
 
-    /// Counts an event at this sidecar.
+    /// Counts a local event.
     pub fn record(&self, event: Event) {
         self.node.borrow_mut().record(event, self.now());
     }
 
-    /// Puts other quotas in force.
+    /// Replaces the tenants' quotas.
     pub fn reconfigure(&self, quotas: TenantQuotas) {
         self.node.borrow_mut().reconfigure(quotas, self.now());
     }
 
-    /// Takes a datagram in. Returns false if it is not a gossip message.
+    /// Handles a received datagram. Returns false if it is not a gossip message.
     pub fn receive(&self, from: u32, data: &[u8]) -> bool {
         if !Message::has_magic(data) {
             return false;
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Sends messages when they are due; never ends.
+    /// Sends messages when they are due. Never returns.
     pub async fn run(self: Rc<Membership<P>>) {
         loop {
             let outgoing = self.node.borrow_mut().poll(self.now());
@@ -114,23 +114,23 @@
                 self.peers.send(receiver, &data);
             }
             let deadline = Duration::from_micros(self.node.borrow().next_deadline());
-            let wake = (self.started_at + deadline).min(P::now() + MAX_SLEEP);
-            if wake > P::now() {
+            let wake_at = (self.started_at + deadline).min(P::now() + MAX_SLEEP);
+            if wake_at > P::now() {
                 tokio::select! {
                     biased;
-                    () = P::sleep_until(wake) => {}
+                    () = P::sleep_until(wake_at) => {}
                     () = self.received.notified() => {}
                 }
             }
         }
     }
 
-    /// What this sidecar knows of its tier now.
+    /// Returns this sidecar's current view of its tier.
     pub fn snapshot(&self) -> Snapshot {
         self.node.borrow_mut().snapshot(self.now())
     }
 
-    /// What is known of every member, and how long each has been in its state.
+    /// Returns the record of every member and the time for which it has been in its state.
     pub fn members(&self) -> Vec<(MemberRecord, Duration)> {
         let members = self.node.borrow().members(self.now());
         members.into_iter().map(|(record, age)| (record, Duration::from_micros(age))).collect()
--- a/src/sidecar/peers.rs
+++ b/src/sidecar/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the sidecars of a tier.
+//! Exchanges datagrams between the sidecars of a tier.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,33 +7,33 @@
 use runtime::{Runtime, Udp};
 use rustc_hash::FxHashMap;
 
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The pause after receiving has failed.
+/// Pause after a failed receive.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The number that stands for all peers.
+/// Peer number that addresses all peers.
 const ALL_PEERS: u32 = u32::MAX;
 
-/// What handles datagrams of other sidecars.
+/// Handles datagrams from other sidecars.
 pub trait DatagramHandler {
-    /// Handles a datagram of the peer with this number.
+    /// Handles a datagram from the peer with this number.
     fn handle(&self, from: u32, data: &[u8]);
 }
 
-/// The socket to the other sidecars, and their addresses.
+/// The UDP socket for datagrams to and from other sidecars, and their addresses.
 pub struct Peers<P: Runtime> {
     socket: P::Udp,
-    /// Addresses, by number.
+    /// Addresses of the peers, indexed by their numbers.
     addresses: Vec<SocketAddr>,
-    /// Numbers, by address.
+    /// Numbers of the peers by their addresses.
     numbers: FxHashMap<SocketAddr, u32>,
-    /// Where datagrams reach all peers.
+    /// Multicast address that reaches all peers; `None` if there is none.
     multicast: Option<SocketAddr>,
 }
 
 impl<P: Runtime> Peers<P> {
-    /// Peers by their numbers. `socket` is bound to where datagrams arrive; what is sent to `multicast` reaches all
-    /// peers.
+    /// Creates the peers with these addresses, numbered from 0. `socket` is bound to the address that receives
+    /// datagrams, and datagrams sent to `multicast` reach all peers.
     pub fn new(
         socket: P::Udp,
         addresses: Vec<SocketAddr>,
@@ -43,8 +43,8 @@
         Rc::new(Peers { socket, addresses, numbers, multicast })
     }
 
-    /// Sends a datagram, which may be lost like any. One that is too long, or for a number that no peer has, is
-    /// dropped.
+    /// Sends a datagram without any guarantee of delivery. A datagram that is too long, or addressed to an unknown
+    /// peer, is dropped.
     pub fn send(&self, peer: u32, data: &[u8]) {
         if data.len() > MAX_DATAGRAM_BYTES {
             return;
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Receives datagrams; never ends. Those from unknown addresses and those that are too long are dropped.
+    /// Receives datagrams. Never returns. Datagrams from unknown addresses and datagrams that are too long are dropped.
     pub async fn listen(self: Rc<Peers<P>>, handler: impl DatagramHandler) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                // It is about an earlier datagram of ours that could not be delivered, or a shortage.
+                // An earlier datagram of this sidecar could not be delivered (ICMP error), or resources are exhausted.
                 P::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
