--- a/tests/lifecycle/discovery.rs
+++ b/tests/lifecycle/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that is silent, slow, wrong, moved or restarted.
+//! Discovery services that do not respond, respond slowly or wrongly, move or restart.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,8 +12,8 @@
 use crate::net::*;
 use crate::support::*;
 
-/// A discovery agent under the test's control: its script gets the number and the path of each call,
-/// and returns whether the connection stays open.
+/// A scripted discovery agent. The script gets the number and the path of each call, and returns whether the connection
+/// stays open.
 struct Agent {
     at: SocketAddr,
     calls: Arc<Mutex<Vec<(Instant, String)>>>,
@@ -43,34 +43,34 @@
         self.calls.lock().expect("no panic").clone()
     }
 
-    /// Has the sidecar use this agent from now on.
-    fn becomes_discovery_of(&self, sidecar: &Sidecar) {
+    /// Reconfigures the sidecar to use this agent.
+    fn set_as_discovery_of(&self, sidecar: &Sidecar) {
         let mut config = sidecar.config().clone();
         config["discovery"] = json!(self.at.to_string());
         apply_config(sidecar, &config);
     }
 }
 
-/// Responds with an endpoint list, or with what changed in it.
+/// Responds with a complete endpoint list, or with changes to it.
 fn write_list(socket: &mut TcpStream, seq: u64, complete: bool, hosts: &[Entry]) -> bool {
     let body = json!({"seq": seq, "whole": complete, "hosts": hosts}).to_string();
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     socket.write_all(text.as_bytes()).is_ok()
 }
 
-/// What an agent knows counts from the moment in which it responds again, and it may never respond to
-/// calls that were made while it was silent.
+/// The sidecar is expected to know an agent's list as soon as the agent responds again, and the agent may never respond
+/// to calls that were made while it was silent.
 #[test]
-fn silent_agent_is_polled_again_well_within_the_stop_sending_time() {
+fn silent_agent_is_called_again_well_within_the_stop_sending_time() {
     let server = Server::echo();
     let sidecar = Sidecar::start_with(discovery(&[&server]), |config| {
         config["settings"]["rules"]["stopSendingWithin"] = 200_000.into();
     });
     let silent = Agent::start(|_, _, _| true);
-    silent.becomes_discovery_of(&sidecar);
-    until("it is polled often", || silent.calls().len() >= 8);
+    silent.set_as_discovery_of(&sidecar);
+    until("the agent is called often", || silent.calls().len() >= 8);
     let calls = silent.calls();
-    // A quarter of the stop-sending time each; one call after the other would take 0.8 s each.
+    // The calls are about a quarter of the stop-sending time apart; sequential calls would take 0.8 s each.
     let took = calls[7].0 - calls[0].0;
     assert!(took < Duration::from_secs(4), "eight calls took {took:?}");
     assert!(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn slow_agent_response_is_used_although_it_is_polled_again() {
+fn slow_agent_response_is_used_although_the_agent_is_called_again() {
     let (old, new) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start_with(discovery(&[&old]), |config| {
         config["settings"]["rules"]["stopSendingWithin"] = 200_000.into();
@@ -92,11 +92,11 @@
         let hosts = [Entry::new(at, "a")];
         write_list(socket, 7, complete, if complete { &hosts } else { &[] })
     });
-    slow.becomes_discovery_of(&sidecar);
+    slow.set_as_discovery_of(&sidecar);
     sidecar.wait_until_reaches(&new);
 }
 
-/// A list that cannot be used counts as a failed call.
+/// A response that is not a valid list counts as a failed call.
 #[test]
 fn unusable_list_leaves_known_servers_in_place() {
     let (old, new) = (Server::echo(), Server::echo());
@@ -123,26 +123,26 @@
         };
         socket.write_all(text.as_bytes()).is_ok()
     });
-    faulty.becomes_discovery_of(&sidecar);
+    faulty.set_as_discovery_of(&sidecar);
     let mut n = 0;
     while faulty.calls().len() < 29 {
         n += 1;
         let id = format!("look{n}");
         assert!(sidecar.exchange(&look(&id)).ends_with(&format!("\r\n\r\n{id}")));
-        assert!(n < 20_000, "it is no longer polled: {:?}", faulty.calls().len());
+        assert!(n < 20_000, "the agent is no longer called: {:?}", faulty.calls().len());
     }
     sidecar.wait_until_reaches(&new);
 }
 
-/// Discovery is polled. Found by reading: the silence was detected half a second before what was missed
-/// counts as known, and the balancer's backoff was still to come.
+/// With polled discovery, a silent watch has to be reopened without backoff. A sidecar that detects the silence half a
+/// second before it is expected to know the missed changes, and then waits for the balancer's backoff, is too late.
 #[test]
-fn silent_watch_is_reopened_at_once() {
+fn silent_watch_is_reopened_without_backoff() {
     let server = Server::echo();
     let sidecar = Sidecar::start_with(discovery(&[&server]), |config| {
         config["settings"]["discovery"] = "on_request".into();
         config["settings"]["rules"]["mustAskIn"] = 100_000_000.into();
-        // With this seed the first watch is opened soon, and the backoff after a failure is long.
+        // With this seed the first watch is opened soon and the backoff after a failure is long.
         config["seed"] = "00000000000014f8".into();
     });
     let at = server.at;
@@ -151,25 +151,25 @@
         2 => write_list(socket, 1, false, &[]),
         _ => true,
     });
-    agent.becomes_discovery_of(&sidecar);
-    until("it watches", || agent.calls().len() >= 3);
-    until("it opens another watch", || agent.calls().len() >= 4);
+    agent.set_as_discovery_of(&sidecar);
+    until("the sidecar watches", || agent.calls().len() >= 3);
+    until("the sidecar opens another watch", || agent.calls().len() >= 4);
     let calls = agent.calls();
     let took = calls[3].0 - calls[2].0;
     assert!(took < Duration::from_secs(12), "{took:?}: {calls:?}");
 }
 
-/// A sidecar that polls its lists.
+/// Starts a sidecar that polls its lists.
 fn polling_sidecar(registry: Registry) -> Sidecar {
     Sidecar::start_with(registry, |config| {
         config["settings"]["discovery"] = "on_request".into();
     })
 }
 
-/// Discovery is polled, and needs two seconds for an answer. Found by reading, after the same mistake with an agent: a call
-/// was dropped after 1.5 s and followed by the next, so that no answer ever arrived, and changes were never known.
+/// Polled discovery that takes two seconds to answer. If each late call were cancelled after 1.5 s for the next one, no
+/// answer would ever arrive and changes would never become known.
 #[test]
-fn slow_service_is_understood_although_it_is_called_again() {
+fn slow_service_response_is_used_although_the_service_is_called_again() {
     let (old, new) = (Server::echo(), Server::echo());
     let sidecar = polling_sidecar(discovery(&[&old]));
     let (first, changed) = (Entry::new(old.at, "a"), Entry::new(new.at, "a"));
@@ -181,20 +181,20 @@
         thread::sleep(Duration::from_millis(held + 2000));
         write_list(socket, 2, true, std::slice::from_ref(&changed))
     });
-    service.becomes_discovery_of(&sidecar);
-    until("it watches", || service.calls().len() >= 2);
+    service.set_as_discovery_of(&sidecar);
+    until("the sidecar watches", || service.calls().len() >= 2);
     let watched = service.calls()[1].0;
     sidecar.wait_until_reaches(&new);
     let took = watched.elapsed();
-    // The watch is held for 2 s, and late by as much.
+    // The watch is held for 2 s, and its response takes another 2 s.
     assert!(took < Duration::from_secs(6), "the change was known after {took:?}");
 }
 
-/// Discovery is polled, and after its first list answers every watch with changes up to a version before that. It is
-/// another process by then, which knows nothing of that version: only its complete list tells what is there now. Found by
-/// reading: the same watch was opened again and again.
+/// Polled discovery that restarts after its first list, and from then on answers every watch with changes up to a lower
+/// version. The new process does not know the sidecar's version, so only its complete list has the current servers. The
+/// sidecar must fetch that list instead of opening the same watch again and again.
 #[test]
-fn changes_up_to_an_older_version_are_followed_by_the_complete_list() {
+fn changes_up_to_a_lower_version_are_followed_by_a_fetch_of_the_complete_list() {
     let (old, new) = (Server::echo(), Server::echo());
     let sidecar = polling_sidecar(discovery(&[&old]));
     let (first, changed) = (Entry::new(old.at, "a"), Entry::new(new.at, "a"));
@@ -206,30 +206,30 @@
         }
         _ => write_list(socket, 3, true, std::slice::from_ref(&changed)),
     });
-    service.becomes_discovery_of(&sidecar);
-    until("it watches", || service.calls().len() >= 2);
+    service.set_as_discovery_of(&sidecar);
+    until("the sidecar watches", || service.calls().len() >= 2);
     let watched = service.calls()[1].0;
     sidecar.wait_until_reaches(&new);
     let took = watched.elapsed();
     assert!(took < Duration::from_secs(6), "the change was known after {took:?}");
     let calls = service.calls();
-    assert!(!calls[2].1.contains("from="), "the complete list is asked for: {calls:?}");
+    assert!(!calls[2].1.contains("from="), "the complete list is not fetched: {calls:?}");
 }
 
-/// Sends some orders, which are all served, and none of them by `server`.
-fn assert_gets_nothing_new(sidecar: &Sidecar, server: &Server) {
+/// Sends 50 orders, and checks that all of them are served and none by `server`.
+fn assert_gets_no_new_requests(sidecar: &Sidecar, server: &Server) {
     let before = server.seen().len();
     for n in 0..50 {
         let id = format!("order{n}");
         assert!(sidecar.exchange(&order(&id)).ends_with(&format!("\r\n\r\n{id}")));
     }
-    assert_eq!(server.seen().len(), before, "the server gets new requests");
+    assert_eq!(server.seen().len(), before, "the server received new requests");
 }
 
-/// Discovery is polled, and `mustAskIn` is long. Found by reading: the backoff went by it alone, so a drain
-/// that discovery had announced for half a minute was not known here.
+/// Polled discovery with a long `mustAskIn`. If the backoff depended on that alone, a drain could remain unknown for
+/// half a minute after discovery announced it.
 #[test]
-fn drain_is_followed_soon_after_discovery_recovers_whatever_must_ask_in_is() {
+fn drain_is_followed_soon_after_discovery_recovers_even_if_must_ask_in_is_long() {
     let (old, new) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start_with(discovery(&[&old]), |config| {
         config["settings"]["discovery"] = "on_request".into();
@@ -238,7 +238,7 @@
     let (draining, active) =
         (Entry { health: "leaving", ..Entry::new(old.at, "a") }, Entry::new(new.at, "a"));
     let first = Entry::new(old.at, "a");
-    // Down from the second call on, and back just after the sixth.
+    // The agent fails the second to the sixth call and recovers just after that.
     let agent = Agent::start(move |n, path, socket| match n {
         1 => write_list(socket, 1, true, std::slice::from_ref(&first)),
         2..=6 => false,
@@ -248,18 +248,19 @@
             write_list(socket, 2, false, &[])
         }
     });
-    agent.becomes_discovery_of(&sidecar);
-    until("it polls a seventh time", || agent.calls().len() >= 7);
+    agent.set_as_discovery_of(&sidecar);
+    until("the sidecar calls a seventh time", || agent.calls().len() >= 7);
     let calls = agent.calls();
-    // The sixth call fails as discovery recovers, and so might the seventh: then the eighth is in time.
+    // The sixth call fails just before discovery recovers. Even if the seventh failed as well, the eighth would be in
+    // time.
     let took = calls[6].0 - calls[4].0;
     assert!(took < Duration::from_secs(6), "two backoffs and two calls took {took:?}");
     sidecar.wait_until_reaches(&new);
-    assert_gets_nothing_new(&sidecar, &old);
+    assert_gets_no_new_requests(&sidecar, &old);
 }
 
-/// A server that a complete list does not name is gone even if it still responds: idle connections to
-/// it are not used.
+/// A server that is missing from a complete list gets no new requests even if it still responds: its idle connections
+/// are not used.
 #[test]
 fn server_missing_from_a_complete_list_gets_no_requests() {
     let (old, new) = (Server::echo(), Server::echo());
@@ -272,46 +273,47 @@
         thread::sleep(Duration::from_millis(if complete { 0 } else { 200 }));
         write_list(socket, 7, complete, if complete { &hosts } else { &[] })
     });
-    agent.becomes_discovery_of(&sidecar);
+    agent.set_as_discovery_of(&sidecar);
     sidecar.wait_until_reaches(&new);
-    assert_gets_nothing_new(&sidecar, &old);
+    assert_gets_no_new_requests(&sidecar, &old);
 }
 
-/// Discovery is polled, and moves a second time while the call to its first new address is unanswered.
+/// The address of polled discovery changes a second time while the call to the first new address is unanswered.
 #[test]
 fn discovery_move_does_not_wait_for_a_pending_call() {
     let server = Server::echo();
     let sidecar = polling_sidecar(discovery(&[&server]));
     let (silent, next) = (Agent::start(|_, _, _| true), Agent::start(|_, _, _| true));
-    silent.becomes_discovery_of(&sidecar);
-    until("it calls the first address", || !silent.calls().is_empty());
+    silent.set_as_discovery_of(&sidecar);
+    until("the sidecar calls the first address", || !silent.calls().is_empty());
     let called = silent.calls()[0].0;
-    next.becomes_discovery_of(&sidecar);
-    until("it calls the next address", || !next.calls().is_empty());
+    next.set_as_discovery_of(&sidecar);
+    until("the sidecar calls the next address", || !next.calls().is_empty());
     let took = next.calls()[0].0 - called;
     assert!(took < Duration::from_millis(2500), "{took:?}");
 }
 
-/// An agent that has told of a draining server, and after the grace period sends its first answer, in which the server
-/// is active, a second time on the same connection.
-struct CopyingAgent {
+/// An agent that announces a draining server and, after the grace period, sends its first answer again on the same
+/// connection. In that answer the server is still active.
+struct DuplicatingAgent {
     entries: [Entry; 2],
-    state: Mutex<CopyingState>,
+    state: Mutex<DuplicatingState>,
 }
 
 #[derive(Default)]
-struct CopyingState {
-    /// The connection that carried the first answer.
+struct DuplicatingState {
+    /// Peer address of the connection that carried the first answer.
     first_peer: Option<SocketAddr>,
-    told_at: Option<Instant>,
-    /// When the first answer was sent again.
-    copied_at: Option<Instant>,
+    /// Time at which the draining server was announced.
+    announced_at: Option<Instant>,
+    /// Time at which the first answer was sent again.
+    duplicated_at: Option<Instant>,
 }
 
-impl CopyingAgent {
-    /// Beyond the grace period of 0.5 s.
-    const COPY_DELAY: Duration = Duration::from_millis(700);
-    /// How long it takes for an answer behind that.
+impl DuplicatingAgent {
+    /// Time from the announcement to the duplicate; longer than the grace period of 0.5 s.
+    const DUPLICATE_DELAY: Duration = Duration::from_millis(700);
+    /// Delay of each complete list after the duplicate.
     const ANSWER_TIME: Duration = Duration::from_millis(80);
 
     fn write(&self, path: &str, socket: &mut TcpStream) -> bool {
@@ -322,17 +324,18 @@
             return write_list(socket, 100, true, &self.entries);
         }
         let draining = Entry { health: "leaving", ..self.entries[0].clone() };
-        let told_at = *state.told_at.get_or_insert_with(Instant::now);
-        let is_due = told_at.elapsed() >= CopyingAgent::COPY_DELAY && state.copied_at.is_none();
+        let announced_at = *state.announced_at.get_or_insert_with(Instant::now);
+        let is_due = announced_at.elapsed() >= DuplicatingAgent::DUPLICATE_DELAY
+            && state.duplicated_at.is_none();
         if is_due && state.first_peer == peer {
-            state.copied_at = Some(Instant::now());
+            state.duplicated_at = Some(Instant::now());
             return write_list(socket, 100, true, &self.entries);
         }
-        let was_copied = state.copied_at.is_some();
+        let was_duplicated = state.duplicated_at.is_some();
         drop(state);
         if !path.contains("from=101") {
-            if was_copied {
-                thread::sleep(CopyingAgent::ANSWER_TIME);
+            if was_duplicated {
+                thread::sleep(DuplicatingAgent::ANSWER_TIME);
             }
             return write_list(socket, 101, true, &[draining, self.entries[1].clone()]);
         }
@@ -340,39 +343,39 @@
         write_list(socket, 101, false, &[])
     }
 
-    fn copied_at(&self) -> Option<Instant> {
-        self.state.lock().expect("no panic").copied_at
+    fn duplicated_at(&self) -> Option<Instant> {
+        self.state.lock().expect("no panic").duplicated_at
     }
 }
 
 #[test]
-fn second_copy_of_an_older_list_does_not_bring_a_draining_server_back() {
+fn duplicate_of_an_older_list_does_not_reactivate_a_draining_server() {
     let (first, second) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start(discovery(&[&first]));
     let entries = [Entry::new(first.at, "a"), Entry::new(second.at, "a")];
-    let copying = Arc::new(CopyingAgent { entries, state: Mutex::default() });
-    let script = copying.clone();
+    let duplicating = Arc::new(DuplicatingAgent { entries, state: Mutex::default() });
+    let script = duplicating.clone();
     let agent = Agent::start(move |_, path, socket| script.write(path, socket));
-    agent.becomes_discovery_of(&sidecar);
+    agent.set_as_discovery_of(&sidecar);
     let mut received = first.seen().len();
     for n in 0.. {
         sidecar.exchange(&look(&format!("look{n}")));
-        match copying.copied_at() {
+        match duplicating.duplicated_at() {
             None => received = first.seen().len(),
             Some(at) if at.elapsed() > Duration::from_millis(300) => break,
             Some(_) => {}
         }
         thread::sleep(Duration::from_millis(1));
     }
-    // One may have been sent between the two looks.
+    // One request may have been sent between the two checks.
     let later = first.seen().len() - received;
     assert!(later <= 1, "{later} requests to a draining server");
 }
 
-/// An agent that sends each answer a second time, 20 ms later, and holds watches for a while.
+/// An agent that sends each answer a second time 20 ms later, and holds watches for 90 ms.
 #[test]
-fn second_copies_of_the_list_in_force_delay_no_change() {
-    const COPY_DELAY: Duration = Duration::from_millis(20);
+fn duplicates_of_the_current_list_delay_no_change() {
+    const DUPLICATE_DELAY: Duration = Duration::from_millis(20);
     const HOLD: Duration = Duration::from_millis(90);
     let (first, second) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start(discovery(&[&first]));
@@ -389,14 +392,14 @@
         let first = Entry { health, ..entries[0].clone() };
         let (mut later, hosts) =
             (socket.try_clone().expect("a handle"), [first, entries[1].clone()]);
-        let copy = hosts.clone();
+        let duplicate = hosts.clone();
         thread::spawn(move || {
-            thread::sleep(COPY_DELAY);
-            write_list(&mut later, version, true, &copy)
+            thread::sleep(DUPLICATE_DELAY);
+            write_list(&mut later, version, true, &duplicate)
         });
         write_list(socket, version, true, &hosts)
     });
-    agent.becomes_discovery_of(&sidecar);
+    agent.set_as_discovery_of(&sidecar);
     sidecar.wait_until_reaches(&second);
     thread::sleep(Duration::from_millis(500));
     let changed = Instant::now();
@@ -415,9 +418,9 @@
     assert!(later <= 1, "{later} requests to a draining server");
 }
 
-/// The version of the new list is by chance that of the old one.
+/// An agent restarts its version counter, and its new list happens to have the same version as the old one.
 #[test]
-fn agent_that_counts_anew_up_to_the_same_version_is_followed() {
+fn agent_that_restarts_with_the_same_version_is_followed() {
     let (first, second) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start(discovery(&[&first]));
     let entries = [Entry::new(first.at, "a"), Entry::new(second.at, "a")];
@@ -432,14 +435,14 @@
         let first = Entry { health, ..entries[0].clone() };
         write_list(socket, 5, true, &[first, entries[1].clone()])
     });
-    agent.becomes_discovery_of(&sidecar);
+    agent.set_as_discovery_of(&sidecar);
     sidecar.wait_until_reaches(&second);
     let requests = |name: &str| {
         (0..20).for_each(|n| drop(sidecar.exchange(&look(&format!("{name}{n}")))));
         first.seen().len()
     };
     let before = first.seen().len();
-    assert!(requests("before") > before, "it is used");
+    assert!(requests("before") > before, "the server is used");
     *restarted.lock().expect("no panic") = true;
     thread::sleep(Duration::from_millis(550));
     let received = first.seen().len();
--- a/tests/lifecycle/draining.rs
+++ b/tests/lifecycle/draining.rs
@@ -1,4 +1,4 @@
-//! New requests at servers that are gone, where lists are pushed and the agent is not well.
+//! New requests to servers that are gone, while lists are pushed and the agent has a fault.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -11,45 +11,47 @@
 
 use crate::net::*;
 
-/// Servers that each change replaces, and servers that stay.
+/// Number of servers that each change replaces, and number of servers that stay.
 const REPLACED: usize = 6;
 const STAYING: usize = 3;
-/// Clients of a play, and how long each waits between two requests.
+/// Number of clients in a run, and the time that each waits between two requests.
 const CLIENTS: usize = 3;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(3);
-/// `rules.stopSendingWithin` of the tests' settings, and the protocol's slack.
+/// `rules.stopSendingWithin` of the tests' settings, plus the tolerance of the protocol.
 const GRACE: Duration = Duration::from_millis(500 + 50);
-/// For how long after a change requests at servers that are gone are looked for.
-const OBSERVED: Duration = Duration::from_millis(1800);
-/// How long the agent is well between two changes.
-const CALM: Duration = Duration::from_millis(400);
-/// How much longer that and a silence last with each change, so that the change meets the calls at another moment.
+/// Time after a change during which requests to servers that are gone are observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1800);
+/// Time without faults between two changes.
+const FAULT_FREE_TIME: Duration = Duration::from_millis(400);
+/// Increase of that time, and of the time without responses, with each change, so that each change occurs at another
+/// phase of the calls.
 const PHASE_STEP: Duration = Duration::from_millis(170);
 
 const fn milliseconds(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// What is wrong with the agent.
+/// The fault of the agent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    /// It answers no call for this long, and then has the change.
+struct AgentFault {
+    /// Time before the change during which the agent answers no call.
     silence: Duration,
-    /// It does not even accept connections meanwhile.
+    /// Whether the agent accepts no connections during that time either.
     accepts_nothing: bool,
-    /// So long before the change all open connections fall silent; new ones are answered.
+    /// Time before the change at which all open connections fall silent, while new ones are answered; `None` if they do
+    /// not.
     stale_connections: Option<Duration>,
-    /// From then on, how long each answer is on its way.
+    /// From then on, the delay of each answer.
     answer_delay: Duration,
-    /// From then on, how long after it is accepted a connection is first read.
+    /// From then on, the delay from accepting a connection to reading from it.
     first_read_delay: Duration,
-    /// From then on, how long the second half of each answer comes after the first.
+    /// From then on, the delay from the first half of each answer to the second.
     pause_within_answer: Duration,
 }
 
-impl Trouble {
-    /// The faults that last beyond the change.
-    fn delays(&self) -> RegistryFaults {
+impl AgentFault {
+    /// Returns the faults that last beyond the change.
+    fn lasting_faults(&self) -> RegistryFaults {
         RegistryFaults {
             answer_delay: self.answer_delay,
             first_read_delay: self.first_read_delay,
@@ -58,14 +60,15 @@
         }
     }
 
-    /// Has the agent be in trouble up to the moment of the change. A silence lasts by `more` longer.
-    fn lead_up(&self, agent: &Registry, more: Duration) {
+    /// Injects the faults into the agent and returns at the time of the change. `more` extends the time without
+    /// responses.
+    fn inject_before_change(&self, agent: &Registry, more: Duration) {
         if !self.silence.is_zero() {
             let (silent, accepts_nothing) = (true, self.accepts_nothing);
-            agent.set_faults(RegistryFaults { silent, accepts_nothing, ..self.delays() });
+            agent.set_faults(RegistryFaults { silent, accepts_nothing, ..self.lasting_faults() });
             thread::sleep(self.silence + more);
         }
-        agent.set_faults(self.delays());
+        agent.set_faults(self.lasting_faults());
         if let Some(before_change) = self.stale_connections {
             agent.silence_open_connections();
             thread::sleep(before_change);
@@ -73,7 +76,7 @@
     }
 }
 
-/// A server that notes when requests arrive.
+/// A server that records when requests arrive.
 struct TimedServer {
     server: Server,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -82,9 +85,9 @@
 impl TimedServer {
     fn start() -> TimedServer {
         let arrivals = Arc::new(Mutex::new(Vec::new()));
-        let noted = arrivals.clone();
+        let recorded = arrivals.clone();
         let server = Server::start(move |id, socket| {
-            noted.lock().expect("no panic").push(Instant::now());
+            recorded.lock().expect("no panic").push(Instant::now());
             std::io::Write::write_all(socket, answer(id).as_bytes()).is_ok()
         });
         TimedServer { server, arrivals }
@@ -103,7 +106,7 @@
     }
 }
 
-/// Clients that send to a sidecar until this is dropped.
+/// Clients that send requests to a sidecar until this is dropped.
 struct Clients {
     stopped: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
@@ -141,11 +144,11 @@
     }
 }
 
-/// How long after each of some changes the last new request came to a server that was gone by then.
+/// Returns, for each of some changes, the time from the change to the last new request to a server that is gone.
 ///
-/// In each change, half a dozen servers are replaced in one version of the list. They go on answering: nothing
-/// but the list tells that they are gone.
-fn last_late_requests(trouble: Trouble, changes: usize) -> Vec<Duration> {
+/// Each change replaces six servers in one version of the list. The replaced servers still answer, so only the list
+/// tells that they are gone.
+fn last_late_requests(fault: AgentFault, changes: usize) -> Vec<Duration> {
     let [mut listed, mut unlisted] = [(); 2].map(|()| TimedServer::start_many(REPLACED));
     let staying = TimedServer::start_many(STAYING);
     let entries = listed.iter().chain(&staying).map(|server| server.entry("active"));
@@ -156,13 +159,13 @@
     let _clients = Clients::start(sidecar.at);
     let mut last = Vec::new();
     for change in 0..changes {
-        thread::sleep(CALM + PHASE_STEP * change as u32);
-        trouble.lead_up(&agent, PHASE_STEP * change as u32);
+        thread::sleep(FAULT_FREE_TIME + PHASE_STEP * change as u32);
+        fault.inject_before_change(&agent, PHASE_STEP * change as u32);
         let changed = Instant::now();
         let gone = listed.iter().map(|server| server.entry("left"));
         let new = unlisted.iter().map(|server| server.entry("active"));
         agent.update_all(gone.chain(new).collect());
-        thread::sleep(OBSERVED);
+        thread::sleep(OBSERVATION_TIME);
         agent.set_faults(RegistryFaults::default());
         let late = listed.iter().filter_map(TimedServer::last_arrival).max();
         last.push(late.map_or(Duration::ZERO, |at| at.saturating_duration_since(changed)));
@@ -171,80 +174,82 @@
     last
 }
 
-/// An agent fell silent for some seconds and was then slow to answer, just as most servers were replaced. The sidecar
-/// went on sending to those that were gone, for up to 1.3 s where 0.5 s are allowed. While nothing comes from the
-/// agent, another call was made every 125 ms; each took the place of the one before, and only the oldest was kept,
-/// which such an agent never answers. An answer that takes longer than 125 ms could therefore not arrive before the
-/// oldest call had timed out. In a play with answers that took 130 ms the log had
-/// `discovery answers again version=2 unconfirmed_ms=1358 answer_ms=133`: the list was 1.36 s old when it was replaced
-/// by an answer to a call that had been made 0.13 s before. With answers that took 100 ms the last request at a server
-/// that was gone came after 0.49 s, with 130 ms after 1.02 s.
+/// The agent is silent for some seconds and then slow to answer, while most servers are replaced. A sidecar that makes
+/// a new call every 125 ms and cancels the previous one for it, keeping only the oldest, fails here: the agent never
+/// answers the oldest call, and an answer that takes longer than 125 ms cannot arrive before that call times out. Such
+/// a sidecar sent requests to servers that were gone for up to 1.3 s, where 0.5 s are allowed: up to 0.49 s with
+/// answers that take 100 ms, and up to 1.02 s with 130 ms, when the list was replaced after 1.36 s without
+/// confirmation.
 #[test]
 fn agent_that_was_silent_and_answers_slowly_is_followed_within_the_grace() {
-    let trouble = Trouble {
+    let fault = AgentFault {
         silence: milliseconds(2500),
         answer_delay: milliseconds(150),
-        ..Trouble::default()
+        ..AgentFault::default()
     };
     let lags = LagWatch::start();
-    let late = last_late_requests(trouble, 4);
+    let late = last_late_requests(fault, 4);
     let held = late.iter().all(|&late| late <= GRACE);
     assert!(held, "last requests at gone servers: {late:?}; {}", lags.longest());
 }
 
-/// The same for open connections that fall silent while new ones are answered, for connections that are read late, and
-/// for answers that are slow from an agent that is well otherwise.
+/// The grace also holds if open connections fall silent while new ones are answered, if connections are read late, and
+/// if an agent without other faults answers slowly.
 #[test]
 fn grace_holds_for_slow_answers_and_connections_that_fall_silent() {
     let stale = |ms| Some(milliseconds(ms));
-    let sound = Trouble::default();
-    let troubles = [
-        Trouble { answer_delay: milliseconds(200), ..sound },
-        Trouble { answer_delay: milliseconds(350), ..sound },
-        Trouble { stale_connections: stale(1), ..sound },
-        Trouble { stale_connections: stale(1), answer_delay: milliseconds(130), ..sound },
-        Trouble { stale_connections: stale(150), answer_delay: milliseconds(200), ..sound },
-        Trouble { stale_connections: stale(1), first_read_delay: milliseconds(130), ..sound },
-        Trouble { stale_connections: stale(80), first_read_delay: milliseconds(200), ..sound },
-        Trouble { silence: milliseconds(1500), answer_delay: milliseconds(300), ..sound },
-        Trouble { silence: milliseconds(1500), accepts_nothing: true, ..sound },
+    let no_fault = AgentFault::default();
+    let faults = [
+        AgentFault { answer_delay: milliseconds(200), ..no_fault },
+        AgentFault { answer_delay: milliseconds(350), ..no_fault },
+        AgentFault { stale_connections: stale(1), ..no_fault },
+        AgentFault { stale_connections: stale(1), answer_delay: milliseconds(130), ..no_fault },
+        AgentFault { stale_connections: stale(150), answer_delay: milliseconds(200), ..no_fault },
+        AgentFault { stale_connections: stale(1), first_read_delay: milliseconds(130), ..no_fault },
+        AgentFault {
+            stale_connections: stale(80),
+            first_read_delay: milliseconds(200),
+            ..no_fault
+        },
+        AgentFault { silence: milliseconds(1500), answer_delay: milliseconds(300), ..no_fault },
+        AgentFault { silence: milliseconds(1500), accepts_nothing: true, ..no_fault },
     ];
-    assert_grace_holds(&troubles);
+    assert_grace_holds(&faults);
 }
 
-/// The same for answers that come in two pieces, the second one late: the list in force is the old one until all of the new
-/// one is there, and calls that follow meanwhile must not end the one that is being received.
+/// The grace also holds if the second half of each answer is late: the old list is in use until the new one is
+/// complete, and calls made meanwhile must not cancel the one whose response is being received.
 #[test]
 fn grace_holds_for_answers_that_come_in_pieces() {
     let stale = |ms| Some(milliseconds(ms));
-    let sound = Trouble::default();
-    let pause = |ms| Trouble { pause_within_answer: milliseconds(ms), ..sound };
-    let troubles = [
+    let no_fault = AgentFault::default();
+    let pause = |ms| AgentFault { pause_within_answer: milliseconds(ms), ..no_fault };
+    let faults = [
         pause(200),
         pause(350),
-        Trouble { stale_connections: stale(1), ..pause(130) },
-        Trouble { stale_connections: stale(150), ..pause(200) },
-        Trouble { stale_connections: stale(1), answer_delay: milliseconds(100), ..pause(130) },
-        Trouble { silence: milliseconds(1500), ..pause(300) },
-        Trouble { silence: milliseconds(1500), answer_delay: milliseconds(150), ..pause(150) },
+        AgentFault { stale_connections: stale(1), ..pause(130) },
+        AgentFault { stale_connections: stale(150), ..pause(200) },
+        AgentFault { stale_connections: stale(1), answer_delay: milliseconds(100), ..pause(130) },
+        AgentFault { silence: milliseconds(1500), ..pause(300) },
+        AgentFault { silence: milliseconds(1500), answer_delay: milliseconds(150), ..pause(150) },
     ];
-    assert_grace_holds(&troubles);
+    assert_grace_holds(&faults);
 }
 
-/// Slower than the agents that the calls are timed for.
+/// The schedule of the calls is designed for agents that answer faster than this.
 #[test]
 fn grace_holds_for_answers_that_take_longer_than_the_grace() {
-    assert_grace_holds(&[Trouble { answer_delay: milliseconds(600), ..Trouble::default() }]);
+    assert_grace_holds(&[AgentFault { answer_delay: milliseconds(600), ..AgentFault::default() }]);
 }
 
-/// Plays each trouble, all at the same time, and checks when the last new request came to a server that was gone.
-fn assert_grace_holds(troubles: &[Trouble]) {
+/// Runs all faults in parallel, and checks that the last new request to a server that is gone is within the grace.
+fn assert_grace_holds(faults: &[AgentFault]) {
     let lags = LagWatch::start();
-    let play = |&trouble: &Trouble| thread::spawn(move || last_late_requests(trouble, 3));
-    let plays: Vec<_> = troubles.iter().map(play).collect();
-    for (trouble, play) in troubles.iter().zip(plays) {
-        let late = play.join().expect("the play ends");
+    let run = |&fault: &AgentFault| thread::spawn(move || last_late_requests(fault, 3));
+    let runs: Vec<_> = faults.iter().map(run).collect();
+    for (fault, run) in faults.iter().zip(runs) {
+        let late = run.join().expect("the run ends");
         let held = late.iter().all(|&late| late <= GRACE);
-        assert!(held, "{late:?} with {trouble:?}; {}", lags.longest());
+        assert!(held, "{late:?} with {fault:?}; {}", lags.longest());
     }
 }
