--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -71,7 +71,7 @@
 struct Entry {
     incarnation: u32,
     state: MemberState,
-    /// Time at which this table entered the state.
+    /// Time at which this table set the state.
     state_since: Micros,
     /// Whether every path to the member leads over dead members. Computed locally and never sent.
     unreachable: bool,
@@ -139,7 +139,7 @@
         Some(MemberRecord { member, incarnation: entry.incarnation, state: entry.state })
     }
 
-    /// Returns when this table entered the state of a member; `None` for numbers outside the cluster.
+    /// Returns when this table set the current state of a member; `None` for numbers outside the cluster.
     pub fn state_since(&self, member: u32) -> Option<Micros> {
         self.entries.get(member as usize).map(|entry| entry.state_since)
     }
--- a/src/sidecar/discovery/poll.rs
+++ b/src/sidecar/discovery/poll.rs
@@ -54,7 +54,7 @@
 }
 
 impl PollState {
-    /// The next call goes to another service, which is asked for the complete list.
+    /// Makes the next call fetch the complete list from the service at the new address.
     fn on_address_changed(&mut self) {
         self.calling = true;
         self.full_list = true;
@@ -83,7 +83,7 @@
         id
     }
 
-    /// The current call returned a list: watches follow, if the balancer has asked for them.
+    /// Handles a list returned by the current call. Watches follow if the balancer has requested them.
     fn on_success(&mut self) {
         self.calling = self.watching;
         self.full_list = false;
@@ -92,7 +92,7 @@
         self.current = None;
     }
 
-    /// The current call failed: the balancer decides when the next call is made.
+    /// Handles a failure of the current call. The balancer decides when the next call is made.
     fn on_failure(&mut self) {
         self.calling = false;
         self.watching = false;
@@ -100,7 +100,7 @@
         self.current = None;
     }
 
-    /// The current call is late: the next watch is not held, so it returns the missed changes immediately. Returns
+    /// Handles a late current call. The next watch is not held, so it returns the missed changes immediately. Returns
     /// whether the next call is made now; false if the current call has already replaced a late one.
     fn on_late(&mut self) -> bool {
         if self.reopened {
--- a/src/sidecar/discovery/push.rs
+++ b/src/sidecar/discovery/push.rs
@@ -84,7 +84,7 @@
         let AgentCalls { schedule, calls } = agent;
         self.status.discovery.check_overdue(now, self.call_timing.grace, calls.len());
         if schedule.lateness(now) >= READ_TIMEOUT {
-            // Tasks that wait for the first call to end do not wait for a late one.
+            // Tasks that wait for the end of the first call must not wait any longer if it is late.
             self.call_finished.notify_one();
         }
         if calls.receiving_count(now, self.call_timing.interval) >= ListMemory::MAX_LISTS {
--- a/src/sidecar/discovery_status.rs
+++ b/src/sidecar/discovery_status.rs
@@ -99,7 +99,7 @@
         let _ = fmt::Write::write_fmt(&mut *known, format_args!("{service}"));
     }
 
-    /// Counts the outcome of a call that returned no list to apply.
+    /// Counts the outcome of a call. [`DiscoveryStatus::record_list`] does so for a call whose list is applied.
     pub fn record_outcome(&self, outcome: CallOutcome) {
         increment(&self.calls_ended[outcome as usize]);
     }
--- a/tests/lifecycle/draining.rs
+++ b/tests/lifecycle/draining.rs
@@ -31,7 +31,7 @@
     Duration::from_millis(ms)
 }
 
-/// The fault of the agent.
+/// The faults of the agent around each change.
 #[derive(Clone, Copy, Debug, Default)]
 struct AgentFault {
     /// Time before the change during which the agent answers no call.
