--- a/crates/config-distribution/tests/support/exchange.rs
+++ b/crates/config-distribution/tests/support/exchange.rs
@@ -1,4 +1,4 @@
-//! Fixtures of exchanges, and peers that answer from them.
+//! Fixtures of HTTP exchanges, and scripted peers that respond from them.
 
 use std::fs;
 use std::io::{BufReader, Write};
@@ -20,7 +20,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// The text of a fixture.
+/// Returns the text of a fixture.
 pub fn fixture(name: &str) -> String {
     fs::read_to_string(fixture_path(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
@@ -30,7 +30,7 @@
     serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text:?}"))
 }
 
-/// Compares JSON as values, and other text as it is. An empty line is no JSON.
+/// Asserts that two texts are equal. JSON is compared as values, and other text, such as an empty line, as it is.
 fn assert_same(name: &str, expected: &str, actual: &str) {
     match serde_json::from_str::<Value>(expected) {
         Ok(expected) => assert_eq!(json(actual), expected, "{name}"),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Compares what a run has sent or stored with the fixture of this name.
+/// Asserts that a text that was sent or stored equals the fixture of this name.
 pub fn assert_fixture(name: &str, actual: &str) {
     fs::write(Path::new(env!("CARGO_TARGET_TMPDIR")).join(name), actual).expect("written");
     let expected = fixture(name);
@@ -51,7 +51,7 @@
     expected.iter().zip(actual).for_each(|(expected, actual)| assert_same(name, expected, actual));
 }
 
-/// The exchange that a fixture holds.
+/// Parses the exchange in a fixture.
 pub fn exchange(name: &str) -> Exchange {
     let text = fixture(name);
     let lines: Vec<_> = text.lines().collect();
@@ -60,7 +60,7 @@
     Exchange { request: request.into(), body: body.into(), status, response: response.into() }
 }
 
-/// Checks that a type reads a text and writes the same.
+/// Asserts that a text is parsed and serialized again without a change.
 pub fn assert_round_trip<T: DeserializeOwned + Serialize>(text: &str) {
     let read: T = serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"));
     assert_eq!(serde_json::to_value(&read).expect("JSON"), json(text), "{text}");
@@ -79,7 +79,7 @@
 }
 
 impl Exchange {
-    /// The form that a fixture has.
+    /// Returns the exchange in the form of a fixture.
     pub fn text(&self) -> String {
         format!("{}\n{}\n{}\n{}\n", self.request, self.body, self.status, self.response)
     }
@@ -88,8 +88,8 @@
 /// The status and the body of a response.
 type Response = (u16, String);
 
-/// Gives the response to a request, by its path and by how many requests to the path came before. Without a response
-/// the request is held.
+/// Returns the response to a request, given its path and the number of earlier requests to the path. For `None`, the
+/// request is held.
 type Handler = dyn Fn(&str, usize) -> Option<Response> + Send + Sync;
 
 /// A scripted peer of a role. It records all requests.
@@ -115,7 +115,7 @@
         Peer { address, exchanges }
     }
 
-    /// All exchanges so far.
+    /// Returns all exchanges so far.
     pub fn exchanges(&self) -> Vec<Exchange> {
         self.exchanges.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -131,7 +131,7 @@
     }
 }
 
-/// The `METHOD TARGET` of a request's head.
+/// Returns the `METHOD TARGET` of a request's head.
 fn request_of(head: &str) -> String {
     let line = head.lines().next().unwrap_or_default();
     line.trim_end_matches(" HTTP/1.1").to_owned()
@@ -160,7 +160,7 @@
     }
 }
 
-/// The path of `METHOD TARGET`.
+/// Returns the path of `METHOD TARGET`.
 pub fn path_of(request: &str) -> &str {
     let target = request.split(' ').nth(1).unwrap_or_default();
     target.split('?').next().unwrap_or_default()
@@ -179,13 +179,13 @@
     Exchange { request: request.to_owned(), body: body.to_owned(), status, response }
 }
 
-/// Sends the request of a fixture, and compares the response with the fixture's.
+/// Sends the request of a fixture, and asserts that the response equals that of the fixture.
 pub fn assert_exchange(address: SocketAddr, name: &str) {
     let Exchange { request, body, .. } = exchange(name);
     assert_fixture(name, &send(address, &request, &body).text());
 }
 
-/// A role on a thread of its own. It ends with the handle.
+/// A role that runs on its own thread. It ends when the handle is dropped.
 pub struct Running {
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
--- a/crates/config-distribution/tests/support/replication.rs
+++ b/crates/config-distribution/tests/support/replication.rs
@@ -16,27 +16,27 @@
     body, control_server, interest, key, ms, new_control_server, server_name, server_names,
 };
 
-/// How many members there are.
+/// Number of members.
 pub const MEMBERS: usize = 5;
-/// How many origins there are.
+/// Number of origins.
 const ORIGINS: usize = 2;
-/// The most hosts of a member; there are none here.
+/// Maximum number of hosts of a member. The simulation has no hosts.
 const MAX_HOSTS: usize = 10;
-/// The faulty steps of a run.
+/// Number of steps with faults in a run.
 const FAULTY_STEPS: usize = 3000;
-/// The rounds without faults at its end.
+/// Number of rounds without faults at the end of a run.
 const QUIET_ROUNDS: usize = 200;
 
-/// A request on its way to an origin.
+/// A request in flight to an origin.
 struct RequestInFlight {
     member: usize,
-    /// The sender's process, by how often it was restarted.
+    /// The sender's process, as the number of its restarts.
     process: u64,
     origin: usize,
     request: LogRequest,
 }
 
-/// A response on its way to a member. It is lost if the process has ended meanwhile.
+/// A response in flight to a member. It is lost if the process has ended meanwhile.
 struct ResponseInFlight {
     member: usize,
     process: u64,
@@ -51,30 +51,30 @@
     rng: Pcg64Mcg,
     /// The members.
     pub members: Vec<ControlServer>,
-    /// What each member has on disk.
+    /// The state that each member has on disk; `None` after its disk was lost.
     disks: Vec<Option<PersistentState>>,
     /// The origins.
     pub origins: Vec<Origin>,
     requests: Vec<RequestInFlight>,
     responses: Vec<ResponseInFlight>,
-    /// How often each member was restarted.
+    /// Number of restarts of each member.
     restarts: Vec<u64>,
-    /// Numbers published bodies and the starts of origins.
+    /// Source of unique numbers for published bodies and starts of origins.
     counter: u64,
     /// The time in milliseconds.
     now: u64,
-    /// What was ever committed anywhere.
+    /// The content of each generation that any member has committed.
     committed: BTreeMap<Generation, Content>,
-    /// The last change that an operator was told to be committed.
+    /// The last change that an origin has reported as committed.
     pub acknowledged: Generation,
-    /// What each member had committed last; a lost disk begins anew.
+    /// The last committed generation of each member; 0 after its disk was lost.
     last_committed: Vec<Generation>,
-    /// Over all that was sent, stored and ordered.
+    /// Hash over all messages, stored states and ordered changes.
     pub hash: BehaviorHash,
 }
 
 impl Simulation {
-    /// Members and origins that have just been started for the first time.
+    /// Creates members and origins that start for the first time.
     pub fn new(seed: u64) -> Simulation {
         let member = |n| new_control_server(n, MEMBERS, MAX_HOSTS);
         let origin = |n| Origin::new(n as u8, 0, server_names(MEMBERS));
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Runs a seed to its end, where one origin is restarted, nothing is lost any more, and it has to lead with all
-    /// that was acknowledged.
+    /// Runs a seed. At the end one origin is restarted and no message is lost any more: that origin has to lead, and to
+    /// have all acknowledged changes.
     ///
     /// # Panics
     ///
-    /// A committed change was lost, or differs between members.
+    /// Panics if a committed change was lost, or differs between members.
     pub fn run(seed: u64) -> Simulation {
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed);
@@ -132,7 +132,7 @@
         self.check();
     }
 
-    /// Exchanges one request and its response without loss, at a time in milliseconds.
+    /// Exchanges one request and its response without loss, at the time `now` in milliseconds.
     pub fn exchange(&mut self, member: usize, origin: usize, now: u64) {
         let request = self.members[member].log_request();
         self.origins[origin].receive(request.clone(), ms(now)).expect("a member");
@@ -145,7 +145,7 @@
         (self.rng.next_u64() % limit as u64) as usize
     }
 
-    /// Has an origin take over a replica if it wants to; sometimes that fails.
+    /// Lets an origin take over a replica if it has to. The takeover fails at random.
     pub fn take_over(&mut self, origin: usize) {
         let member = match self.origins[origin].phase() {
             Phase::TakingOver(member) => member.clone(),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// One random event.
+    /// Simulates one random event.
     fn step(&mut self) {
         self.now += 10;
         match self.draw(100) {
@@ -186,7 +186,7 @@
         self.requests.push(RequestInFlight { member, process, origin, request });
     }
 
-    /// Delivers one of the requests, in any order, or loses it.
+    /// Delivers or loses one of the requests in flight, in random order.
     fn deliver_request(&mut self) {
         let position = self.draw(self.requests.len());
         let in_flight = self.requests.swap_remove(position);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Delivers one of the responses, in any order, or loses it.
+    /// Delivers or loses one of the responses in flight, in random order.
     fn deliver_response(&mut self) {
         let position = self.draw(self.responses.len());
         let ResponseInFlight { member, process, response } = self.responses.swap_remove(position);
@@ -209,7 +209,7 @@
             return;
         }
         let persistence = self.members[member].apply(response);
-        // What a recovering member has counts as stored once it may vote again.
+        // The changes of a recovering member count as stored only once it may vote again.
         let is_recovering = self.members[member].promised_epoch().is_none();
         if persistence == Persistence::Required && !is_recovering {
             self.disks[member] = Some(self.members[member].state().clone());
@@ -225,12 +225,12 @@
         self.hash.add(&(self.now, origin, publish_outcome(result)));
     }
 
-    /// A member crashes and comes back with its disk.
+    /// Crashes a member and restarts it with its disk.
     fn restart_member(&mut self) {
         let member = self.draw(MEMBERS);
         self.restarts[member] += 1;
         if self.disks[member].is_none() {
-            // It was still recovering.
+            // The member was still recovering.
             self.last_committed[member] = 0;
         }
         let (disk, incarnation) = (self.disks[member].clone(), self.restarts[member]);
@@ -248,7 +248,7 @@
         self.members.iter().all(|member| member.promised_epoch().is_some())
     }
 
-    /// A member loses its disk, and asks the others.
+    /// Restarts a member without its disk, so that it recovers from the others.
     fn lose_disk(&mut self) {
         let member = self.draw(MEMBERS);
         self.restarts[member] += 1;
@@ -258,7 +258,7 @@
         self.members[member] = control_server(member, MEMBERS, MAX_HOSTS, None, incarnation);
     }
 
-    /// A member asks a peer for its promise, if it recovers.
+    /// Lets a random member request the promise of a random peer, if the member recovers.
     fn recover_random_member(&mut self) {
         let (member, peer) = (self.draw(MEMBERS), self.draw(MEMBERS));
         if member == peer || self.members[member].promised_epoch().is_some() {
@@ -274,7 +274,7 @@
         self.members[member].record_promise(&server_name(peer), &promise);
     }
 
-    /// Checks that what is committed is the same on all members, and never goes back.
+    /// Checks that the committed content is the same on all members, and that the committed generation never decreases.
     fn check(&mut self) {
         for (m, member) in self.members.iter().enumerate() {
             let (name, replica) = (server_name(m), member.replica());
