--- a/crates/config-distribution/src/arguments.rs
+++ b/crates/config-distribution/src/arguments.rs
@@ -70,8 +70,8 @@
     /// Name and address of another control server. Repeat it for each one.
     #[arg(long, value_name = "NAME=ADDRESS")]
     pub other: Vec<NamedAddress>,
-    /// Starts a new control server without state. Without this option, a control server that finds no state has lost
-    /// it, and recovers from the others.
+    /// The control server starts for the first time, so that missing state does not count as lost. Without this option,
+    /// a control server that finds no state recovers it from the others.
     #[arg(long)]
     pub new: bool,
     /// Memory for hosts, in megabytes. One megabyte is enough for about twenty hosts.
--- a/crates/config-distribution/src/host.rs
+++ b/crates/config-distribution/src/host.rs
@@ -39,7 +39,7 @@
 /// All documents for one host, as of one generation.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ConfigSnapshot {
-    /// The generation.
+    /// The generation of the configuration.
     pub generation: Generation,
     /// The documents that match the host's interest.
     pub documents: Vec<Document>,
@@ -103,7 +103,7 @@
     failures: u32,
     /// Time at which the preferred server is tried again; `None` if that is not scheduled.
     retry_preferred_at: Option<Duration>,
-    /// The last received generation.
+    /// The last received generation; 0 requests a snapshot.
     received: Generation,
     applied: Generation,
     failure: Option<ApplyFailure>,
