--- a/crates/simulation/src/clients/exchange.rs
+++ b/crates/simulation/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response.
+//! The exchange of a request and its response by a client.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::model::{CHUNK_SIZE, LONG_BODY, RequestId, now};
 use crate::oracle::SentRequest;
 
-/// How long the rest of a long response may take.
+/// The time within which the rest of a long response arrives.
 const LONG_RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
-/// How long after the last moment for a response its client gives up.
+/// The time after the deadline of a response at which its client gives up.
 const GIVE_UP_MARGIN: Duration = Duration::from_millis(2);
-/// How long a client waits before it repeats a rejected request that names no time.
+/// The time, in seconds, after which a client repeats a rejected request whose response has no `Retry-After`.
 const DEFAULT_RETRY_AFTER: f64 = 0.05;
 
-/// What a client does with one request.
+/// The behaviour of a client for one request.
 struct RequestPlan {
     id: RequestId,
     timeout: Duration,
@@ -30,23 +30,23 @@
     slow: bool,
 }
 
-/// What became of an exchange.
+/// The result of an exchange.
 struct ExchangeEnd {
     /// Whether the connection can be used again.
     reusable: bool,
-    /// If the request was rejected and will be repeated: after which time.
+    /// The time after which a rejected request is repeated; `None` if it is not repeated.
     retry_after: Option<Duration>,
 }
 
 impl ExchangeEnd {
-    /// The connection is of no use any more, and the request is not repeated.
+    /// Returns the result if the connection cannot be used again and the request is not repeated.
     fn closed() -> ExchangeEnd {
         ExchangeEnd { reusable: false, retry_after: None }
     }
 }
 
 impl Clients {
-    /// Sends a request, and once more if it is rejected.
+    /// Sends a request. If it is rejected, repeats it once or not at all.
     pub(super) async fn send_request(self: Rc<Clients>) {
         let class = self.draw_class();
         if let Some(pause) = self.send_once(class).await {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends one request. Returns after which time it is repeated, if it was rejected and will be.
+    /// Sends one request. Returns the time after which it is to be repeated; `None` if it is not repeated.
     async fn send_once(&self, class: usize) -> Option<Duration> {
         let plan = self.draw_plan(class);
         let Some(mut connection) = self.connection().await else {
@@ -89,7 +89,7 @@
             let share = if rng.random_bool(0.2) { rng.random_range(0.1..1.0) } else { 1.0 };
             RequestPlan {
                 id: RequestId(rng.random::<u64>() | 1),
-                // Whole milliseconds, as the header has them.
+                // Rounded down to whole milliseconds, the resolution of the header.
                 timeout: Duration::from_millis(deadline.mul_f64(share).as_millis() as u64),
                 leaves: rng.random::<f64>() < behaviour.leave,
                 slow: rng.random::<f64>() < behaviour.slow_request,
@@ -151,13 +151,13 @@
         true
     }
 
-    /// Waits for the response; none if the connection ends without one.
+    /// Waits for the response; `None` if the connection ends without one.
     async fn read_response(
         &self,
         connection: &mut Connection,
         plan: &RequestPlan,
     ) -> Result<Option<Message>, runtime::Elapsed> {
-        let patience = if plan.leaves {
+        let max_wait = if plan.leaves {
             plan.timeout.mul_f64(self.draw(|rng| rng.random::<f64>().powi(3)))
         } else {
             let deadline = self.oracle.borrow().response_deadline(plan.id);
@@ -165,9 +165,9 @@
             remaining.unwrap_or(plan.timeout) + GIVE_UP_MARGIN
         };
         let reader = &mut connection.reader;
-        let give_up = SimRuntime::now() + patience;
+        let give_up = SimRuntime::now() + max_wait;
         let mut response = timeout_at::<SimRuntime, _>(give_up, reader.next()).await;
-        // A response that is too long to be buffered, and has begun in time, may take its time.
+        // A response that is too long to be buffered, and has begun in time, may end after the deadline.
         let streams = || self.oracle.borrow().streams_in_time(plan.id);
         if response.is_err() && !plan.leaves && reader.has_partial_message() && streams() {
             let give_up = SimRuntime::now() + LONG_RESPONSE_TIMEOUT;
@@ -183,7 +183,7 @@
         message: &Message,
     ) -> ExchangeEnd {
         let status = message.status().unwrap_or(0);
-        // Servers answer with the id, once or, in long responses, many times.
+        // The body of a response is the id of its request, repeated many times in long responses.
         let expected = id.to_string();
         let matches = !message.body.is_empty()
             && message.body.chunks(expected.len()).all(|part| part == expected.as_bytes());
--- a/crates/simulation/src/clients/misbehaviour.rs
+++ b/crates/simulation/src/clients/misbehaviour.rs
@@ -1,4 +1,4 @@
-//! Clients that send what they should not.
+//! Clients that send malformed requests, or requests with the id of an open one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::model::RequestId;
 use crate::oracle::status_label;
 
-/// What is not a request, or only part of one.
+/// Bytes that are not a valid request, or only part of one.
 const MALFORMED_REQUESTS: [&str; 9] = [
     "\x16\x03\x01\x02\x00\x01\x00\x01\x7c\x03\x03\r\n\r\n",
     "GET /call-lookup/1 HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n",
@@ -26,12 +26,12 @@
     "DELETE / HTTP/1.1\r\n\r\n",
 ];
 
-/// The time that a request with a duplicate id is given.
+/// The timeout of a request with a duplicate id.
 const DUPLICATE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a client with a duplicate id waits for a response.
-const DUPLICATE_PATIENCE: Duration = Duration::from_secs(2);
-/// How long a client with a malformed request waits for a response.
-const MALFORMED_PATIENCE: Duration = Duration::from_secs(4);
+/// The time for which a client waits for the response to a request with a duplicate id.
+const DUPLICATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time for which a client waits for the response to a malformed request.
+const MALFORMED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Clients {
     /// Sends a request with the id of one that is open.
@@ -40,7 +40,7 @@
         let class = &self.classes[self.draw_class()];
         let bytes = self.request_bytes(class, id, DUPLICATE_TIMEOUT);
         let Some(mut connection) = self.new_connection_with(&bytes).await else { return };
-        let end = SimRuntime::now() + DUPLICATE_PATIENCE;
+        let end = SimRuntime::now() + DUPLICATE_RESPONSE_TIMEOUT;
         let response = timeout_at::<SimRuntime, _>(end, connection.reader.next()).await;
         if let Ok(Ok(Some(message))) = response {
             let conflict = message.status() == Some(409);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// One of the open requests that the sidecar has received: of others it is not known which comes first.
+    /// Draws one of the open requests that the sidecar has received. Other requests might arrive after the duplicate.
     fn draw_open_request(&self) -> Option<RequestId> {
         let oracle = self.oracle.borrow();
         let open: Vec<RequestId> =
@@ -62,12 +62,12 @@
         Some(open[self.draw(|rng| rng.random_range(0..open.len()))])
     }
 
-    /// Sends what is not a request.
+    /// Sends a malformed request.
     pub(super) async fn send_malformed_request(self: Rc<Clients>) {
         let index = self.draw(|rng| rng.random_range(0..MALFORMED_REQUESTS.len()));
         let bytes = MALFORMED_REQUESTS[index].as_bytes();
         let Some(mut connection) = self.new_connection_with(bytes).await else { return };
-        let end = SimRuntime::now() + MALFORMED_PATIENCE;
+        let end = SimRuntime::now() + MALFORMED_RESPONSE_TIMEOUT;
         let response = timeout_at::<SimRuntime, _>(end, connection.reader.next()).await;
         let mut oracle = self.oracle.borrow_mut();
         oracle.count(match &response {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A new connection on which these bytes were written; none if that failed.
+    /// Opens a connection and writes these bytes to it; `None` if that fails.
     async fn new_connection_with(&self, bytes: &[u8]) -> Option<Connection> {
         let socket = Rc::new(SimRuntime::connect(self.target).await.ok()?);
         let mut reader = Reader::new(Stream::new(socket.clone(), Rc::new(())));
--- a/crates/simulation/src/clients/mod.rs
+++ b/crates/simulation/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients of one sidecar: most of them well-behaved, some leaving early, writing their requests slowly,
-//! using ids that are open, or sending what is not a request.
+//! Clients of one sidecar. Most behave well; some leave early, write their requests slowly, use the ids of open
+//! requests, or send malformed requests.
 
 mod exchange;
 mod misbehaviour;
@@ -20,25 +20,25 @@
 use crate::model::{CHUNK_SIZE, LONG_BODY, RequestId};
 use crate::oracle::Oracle;
 
-/// How long an idle connection is used again.
+/// The time for which an idle connection may be used again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1900);
-/// How long after the last request idle connections are closed.
+/// The time after the last request at which idle connections are closed.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_secs(5);
 
-/// How clients behave: probabilities, and the load.
+/// The behaviour of clients: probabilities, and the load.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientBehaviour {
-    /// A client leaves before its response.
+    /// The probability that a client leaves before its response.
     pub leave: f64,
-    /// A client writes its request slowly, piece by piece.
+    /// The probability that a client writes its request slowly, piece by piece.
     pub slow_request: f64,
-    /// A client uses the id of a request that is open.
+    /// The probability that a client also sends a request with the id of an open one.
     pub duplicate_id: f64,
-    /// A client sends what is not a request.
+    /// The probability that a client also sends a malformed request.
     pub malformed: f64,
-    /// Of requests with a body, one has a body that is too long to be buffered.
+    /// The probability that a request with a body has one that is too long to be buffered.
     pub long_body: f64,
-    /// How many times as many requests are sent.
+    /// The factor by which the rate of requests is multiplied.
     pub load_factor: f64,
 }
 
@@ -76,44 +76,44 @@
     behaviour: Cell<ClientBehaviour>,
     /// Requests per second.
     rate: f64,
-    /// How many clients rest between their requests.
+    /// The number of clients that rest between their requests.
     resting: usize,
-    /// How long an idle connection is used again.
+    /// The time for which an idle connection may be used again.
     idle_timeout: Duration,
     rng: RefCell<SmallRng>,
     oracle: Rc<RefCell<Oracle>>,
     idle: RefCell<Vec<IdleConnection>>,
-    /// Requests that wait for their response.
+    /// Requests that have no response yet.
     open: RefCell<Vec<RequestId>>,
     /// The start of the world.
     start: Instant,
 }
 
-/// What the clients of a sidecar are made of.
+/// The properties of the clients of a sidecar, and what they are connected to.
 pub struct ClientsSpec {
     /// The index of the sidecar.
     pub sidecar: usize,
-    /// Where it listens.
+    /// The address that the sidecar listens on.
     pub target: SocketAddr,
-    /// The classes of requests, with their shares.
+    /// The classes of requests, with their shares of the load.
     pub classes: Rc<[Class]>,
     /// The tenants that requests are sent for.
     pub tenants: Vec<String>,
     /// Requests per second, beside those of resting clients.
     pub rate: f64,
-    /// How many clients rest between their requests, for about as long as a sidecar keeps an idle
-    /// connection.
+    /// The number of clients that rest between their requests, for about the time after which a sidecar closes an
+    /// idle connection.
     pub resting: usize,
-    /// For everything that is drawn.
+    /// The source of their random numbers.
     pub rng: SmallRng,
-    /// Is notified of what is sent and received.
+    /// The oracle, which is notified of requests and responses.
     pub oracle: Rc<RefCell<Oracle>>,
     /// The start of the world.
     pub start: Instant,
 }
 
 impl Clients {
-    /// Clients that send nothing yet.
+    /// Creates clients that send nothing yet.
     pub fn new(spec: ClientsSpec) -> Clients {
         Clients {
             sidecar: spec.sidecar,
@@ -141,7 +141,7 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// Sends requests until `end`: to be spawned on the clients' host.
+    /// Sends requests until `end`. To be spawned on the clients' host.
     pub async fn run(self: Rc<Clients>, end: Instant) {
         for _ in 0..self.resting {
             SimRuntime::spawn(self.resting_client().rest_between_requests(end));
@@ -183,7 +183,7 @@
         0
     }
 
-    /// The bytes of a request.
+    /// Returns the bytes of a request.
     fn request_bytes(&self, class: &Class, id: RequestId, timeout: Duration) -> Vec<u8> {
         let (method, key) = match class.idempotency {
             Idempotency::Idempotent => ("GET", String::new()),
@@ -202,7 +202,7 @@
         [head.into_bytes(), body].concat()
     }
 
-    /// The body of a request, and the line of the head that gives its length.
+    /// Draws the body of a request. Returns the header line for its length, and its bytes.
     fn draw_body(&self, class: &Class) -> (String, Vec<u8>) {
         let probability = self.behaviour.get().long_body;
         let long = probability > 0.0 && self.draw(|rng| rng.random::<f64>() < probability);
@@ -222,7 +222,7 @@
         (format!("Content-Length: {length}\r\n"), body)
     }
 
-    /// An idle connection, or a new one; none if the sidecar does not accept it.
+    /// Returns an idle connection or a new one; `None` if the sidecar does not accept a new one.
     async fn connection(&self) -> Option<Connection> {
         loop {
             let Some(idle) = self.idle.borrow_mut().pop() else { break };
--- a/crates/simulation/src/clients/resting.rs
+++ b/crates/simulation/src/clients/resting.rs
@@ -1,4 +1,4 @@
-//! Clients that rest between their requests until about the time at which a sidecar ends idle connections.
+//! Clients that rest between their requests for about the time after which a sidecar closes idle connections.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use super::{Clients, ClientsSpec};
 
 impl Clients {
-    /// A client of the same sidecar that has a connection of its own, and never gives it up.
+    /// Creates a client of the same sidecar that keeps its own connection, whatever its idle time.
     pub(super) fn resting_client(&self) -> Rc<Clients> {
         let client = Clients::new(ClientsSpec {
             sidecar: self.sidecar,
@@ -28,8 +28,8 @@
         Rc::new(Clients { idle_timeout: 2 * REST_TIME.end, ..client })
     }
 
-    /// Sends one request after the other and rests between them, until `end`. A connection that is seen to
-    /// be closed is replaced.
+    /// Sends one request after the other, with rests in between, until `end`. Replaces the connection if the sidecar
+    /// has closed it.
     pub(super) async fn rest_between_requests(self: Rc<Clients>, end: Instant) {
         while SimRuntime::now() < end {
             self.clone().send_request().await;
--- a/crates/simulation/src/oracle/clients.rs
+++ b/crates/simulation/src/oracle/clients.rs
@@ -1,4 +1,4 @@
-//! What clients report, and the rules `answer`, `lost`, `late` and `away`.
+//! Records what clients report, and checks the rules `answer`, `lost`, `late` and `away`.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::rule::Rule;
 use crate::model::RequestId;
 
-/// Clients that are drained have stopped using their connections after this time.
+/// The time after a drain within which clients stop using the connections they had before it.
 const DRAIN_PERIOD: Duration = Duration::from_millis(1600);
 
 /// A request that a client is about to write.
@@ -26,14 +26,14 @@
     pub class: usize,
     /// The sidecar that it is sent to.
     pub sidecar: usize,
-    /// The time that the client gives it.
+    /// The client's timeout for it.
     pub timeout: Duration,
     /// Its length, in bytes.
     pub length: u64,
 }
 
 impl Oracle {
-    /// A client is about to write a request.
+    /// Records that a client is about to write a request.
     pub fn request_started(&mut self, now: Duration, sent: &SentRequest) {
         let mut established_at = None;
         if let Some(client) = self.client_connection(sent.connection) {
@@ -46,19 +46,19 @@
         self.requests.insert(sent.id, request);
     }
 
-    /// The rule `away`: no request comes on a connection from long before the drain.
+    /// Checks the rule `away`: some time after a drain, no request arrives on a connection from before it.
     fn check_drained(&mut self, now: Duration, sidecar: usize, established_at: Option<Duration>) {
         let drained_since = self.drained_since.get(&sidecar).copied();
         if let Some((drained, established)) = drained_since.zip(established_at)
             && established < drained
             && now > drained + DRAIN_PERIOD
         {
-            let message = format!("drained since {drained:?}, a client still uses its connection");
+            let message = format!("a client still uses its connection, drained since {drained:?}");
             self.violate(now, Rule::Away, message);
         }
     }
 
-    /// A client has left on purpose: no response is owed to it, and nothing may be sent for it any more.
+    /// Records that a client has left on purpose: no response is owed to it, and nothing more may be sent for it.
     pub fn client_left(&mut self, now: Duration, id: RequestId) {
         self.note(now, || format!("the client of {id} leaves"));
         self.count("clients that left");
@@ -69,12 +69,12 @@
         }
     }
 
-    /// A client has its response; `matches`: the body is the one of its own request.
+    /// Records that a client has received its response. `matches` tells whether the body belongs to its request.
     pub fn response_received(&mut self, now: Duration, id: RequestId, status: u16, matches: bool) {
-        self.note(now, || format!("{id} is answered {status}"));
+        self.note(now, || format!("{id} is answered with {status}"));
         self.count(status_label(status));
         if status == 200 && !matches {
-            let breach = Breach::new(Rule::Answer, "served with the response of another request");
+            let breach = Breach::new(Rule::Answer, "answered with the response of another request");
             self.report_breach(now, breach, Some(id));
         }
         if let Some(request) = self.requests.get_mut(&id) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A client's connection has ended without a response: the rule `lost`.
+    /// Checks the rule `lost` when a client's connection has ended without a response.
     pub fn connection_ended(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A client's timeout, and the slack, have passed: the rule `late`.
+    /// Checks the rule `late` when a client's timeout and the response slack have passed.
     pub fn client_timed_out(&mut self, now: Duration, id: RequestId) {
         if self.response_deadline(id).is_none_or(|deadline| now < deadline) {
             self.count("requests not received in time");
@@ -125,26 +125,30 @@
             && request.response.is_none()
             && request.received_at.is_some();
         if owed {
-            self.report_breach(now, Breach::new(Rule::Late, "no response in time"), Some(id));
+            self.report_breach(
+                now,
+                Breach::new(Rule::Late, "no response by the deadline"),
+                Some(id),
+            );
         } else {
             self.count("requests not received in time");
         }
     }
 
-    /// By when the response to a request must be written; none before the request is sent.
+    /// Returns the time by which the response to a request must be written; `None` before the request is sent.
     pub fn response_deadline(&self, id: RequestId) -> Option<Duration> {
         let request = self.requests.get(&id)?;
         let short_until = self.short_of_descriptors_until.get(&request.sidecar);
         let short =
             short_until.is_some_and(|until| request.sent_at.is_some_and(|sent| sent < *until));
-        // Without descriptors a connection waits to be accepted, and nobody knows of its request.
+        // Without descriptors a connection waits to be accepted, and the sidecar does not know of its request.
         let from = if short { request.received_at? } else { request.sent_at? };
-        // A request may wait to be read in one hold-up, and its answer to be written in another.
+        // One hold-up may delay the read of the request, and another the write of its response.
         let held_up = 2 * self.limits.longest_hold_up;
-        Some(from + request.timeout + self.limits.answer_slack + SOCKET_TOLERANCE + held_up)
+        Some(from + request.timeout + self.limits.response_slack + SOCKET_TOLERANCE + held_up)
     }
 
-    /// Whether a response that is too long to be buffered has begun in time.
+    /// Whether a response that is too long to be buffered was begun by the deadline.
     pub fn streams_in_time(&self, id: RequestId) -> bool {
         let since = self.requests.get(&id).and_then(|request| request.streaming_since);
         since.is_some_and(|at| self.response_deadline(id).is_none_or(|deadline| at <= deadline))
@@ -155,7 +159,7 @@
         self.requests.get(&id).is_some_and(|request| request.received_at.is_some())
     }
 
-    /// How many requests sent in a period were answered 200, and how many were sent.
+    /// Counts the requests that were sent in a period, and those of them that were answered with 200.
     pub fn served_between(&self, from: Duration, to: Duration) -> Served {
         let mut counted = Served::default();
         for request in self.requests.values().filter(|r| r.excused_since.is_none()) {
@@ -168,10 +172,10 @@
     }
 }
 
-/// How many requests were served.
+/// Numbers of requests in a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
-    /// Requests that were answered 200.
+    /// Requests that were answered with 200.
     pub served: u64,
     /// All requests.
     pub requests: u64,
--- a/crates/simulation/src/oracle/connection.rs
+++ b/crates/simulation/src/oracle/connection.rs
@@ -1,4 +1,4 @@
-//! What the oracle knows of a connection.
+//! The state that the oracle keeps of each connection.
 
 use std::time::Duration;
 
@@ -7,29 +7,30 @@
 
 use super::request::{AttemptRef, AttemptResponse};
 
-/// The request that a client has begun to write.
+/// The request that is open on a client's connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenRequest {
     pub(super) id: RequestId,
-    /// The position of its end among the bytes of the connection.
+    /// The offset of its end in the byte stream of the connection.
     pub(super) end: u64,
 }
 
 /// A connection from a client to a sidecar.
 #[derive(Default)]
 pub(super) struct ClientConnection {
-    /// How many bytes the client has written.
+    /// The number of bytes that the client has written.
     pub(super) written: u64,
-    /// How many bytes the sidecar has read.
+    /// The number of bytes that the sidecar has read.
     pub(super) read: u64,
     pub(super) responses: MessageFramer,
-    /// The status of the response that passes.
+    /// The status of the response that is being written.
     pub(super) status: u16,
     pub(super) established_at: Option<Duration>,
-    /// How long its first request may be assumed to have waited to be accepted.
+    /// The longest time that the connection can have waited to be accepted, as far as the sidecar knows. It counts
+    /// for the first request.
     pub(super) assumed_accept_wait: Duration,
     pub(super) open: Option<OpenRequest>,
-    /// Whether the sidecar has ended it, in one direction or in both.
+    /// Whether the sidecar has closed it, in one direction or in both.
     pub(super) ended: bool,
 }
 
@@ -42,15 +43,15 @@
     pub(super) responses: MessageFramer,
     /// When the first byte of the last request was written.
     pub(super) first_byte_at: Duration,
-    /// Whether the head of a request is incomplete, so that it is not known which request it is.
+    /// Whether the head of a request is incomplete, so that the request cannot be identified yet.
     pub(super) in_head: bool,
     /// The last attempt on it.
     pub(super) current: Option<AttemptRef>,
     pub(super) response: AttemptResponse,
-    /// When bytes of the present response last came, if it is incomplete and short.
+    /// When bytes of the current response last arrived, if it is incomplete and short enough to be buffered.
     pub(super) last_progress: Option<Duration>,
-    /// Whether the present response is too long to be buffered.
-    pub(super) streams: bool,
+    /// Whether the current response is too long to be buffered.
+    pub(super) is_streamed: bool,
 }
 
 impl UpstreamConnection {
@@ -66,12 +67,12 @@
             current: None,
             response: AttemptResponse { status: 0, unprocessed: false },
             last_progress: None,
-            streams: false,
+            is_streamed: false,
         }
     }
 }
 
-/// A connection that a request may pass on.
+/// A connection that carries requests.
 pub(super) enum TrackedConnection {
     Client(ClientConnection),
     Upstream(UpstreamConnection),
--- a/crates/simulation/src/oracle/limits.rs
+++ b/crates/simulation/src/oracle/limits.rs
@@ -1,53 +1,53 @@
-//! The figures of the rules: those of a scenario, and constants.
+//! The limits that the rules check against: those that depend on the scenario, and constants.
 
 use std::time::Duration;
 
 use fakes::account::Idempotency;
 
-/// What every time limit of the rules is extended by on sockets.
+/// The tolerance of every time limit on what passes on sockets.
 pub(super) const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What a class of requests is like, as far as the rules need it.
+/// The properties of a class of requests that the rules need.
 #[derive(Clone, Debug)]
 pub struct ClassProfile {
     /// The name of the class.
     pub name: &'static str,
     /// Whether its requests may be repeated.
     pub repeat: Idempotency,
-    /// The mean work of one request at a server of full speed.
+    /// The mean execution time of one request at a server at full speed.
     pub mean_work: Duration,
 }
 
-/// The rule on slow start: how much work all sidecars together may send to a cold server.
+/// The limits of the rule `cold`: the work that all sidecars together may send to a server in slow start.
 #[derive(Clone, Debug)]
 pub struct SlowStartLimits {
-    /// How many times the server's capacity of the moment may be sent.
+    /// The work that may be sent, as a multiple of the server's current capacity.
     pub multiple: f64,
-    /// The time over which it is summed.
+    /// The time over which the work is summed.
     pub window: Duration,
-    /// How many requests a server executes at once.
+    /// The number of requests that a server executes at once.
     pub concurrency: usize,
 }
 
-/// The figures of the rules that depend on the scenario.
+/// The limits of the rules that depend on the scenario.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// By class.
+    /// The properties of each class.
     pub classes: Vec<ClassProfile>,
-    /// How long servers remember an idempotency key.
+    /// The time for which servers remember an idempotency key.
     pub idempotency_window: Duration,
-    /// How long after its deadline a response still counts.
-    pub answer_slack: Duration,
-    /// How long after it was asked to terminate a sidecar may be killed, and what it has not answered be lost.
+    /// The time after its deadline within which a response still counts as in time.
+    pub response_slack: Duration,
+    /// The time after a request to terminate from which on a sidecar may be killed, and its open requests lost.
     pub earliest_kill: Duration,
-    /// How long a sidecar's process may be held up at a time.
+    /// The longest hold-up of a sidecar's process.
     pub longest_hold_up: Duration,
-    /// How soon a server that is reported as draining or gone gets no new requests.
+    /// The time after which a server that was reported as draining or gone gets no new requests.
     pub drain_grace: Duration,
-    /// How many descriptors a sidecar may hold.
+    /// The number of descriptors that a sidecar may hold.
     pub sockets: usize,
     /// The longest time between two parts of a short response.
     pub max_response_gap: Duration,
-    /// How much work a cold server may get.
+    /// The work that a server in slow start may get.
     pub slow_start: SlowStartLimits,
 }
--- a/crates/simulation/src/oracle/mod.rs
+++ b/crates/simulation/src/oracle/mod.rs
@@ -1,5 +1,5 @@
-//! The rules that sidecars have to keep, checked against what passes on the network and what clients and
-//! servers see. The oracle asks the sidecars nothing.
+//! Checks the rules that sidecars have to keep, against what passes on the network and what clients and servers
+//! see. The oracle does not depend on anything that the sidecars report.
 //!
 //! Sidecars, servers and classes are identified by their indices.
 
@@ -39,7 +39,7 @@
 pub use self::rule::Rule;
 pub use self::traffic::OracleTap;
 
-/// What a host of the world is.
+/// The role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The clients of a sidecar.
@@ -66,23 +66,23 @@
 /// Observes a run and checks the rules.
 pub struct Oracle {
     limits: Limits,
-    /// By the index of the host.
+    /// The role of each host, by its index.
     roles: Vec<Role>,
     connections: FxHashMap<ConnectionId, TrackedConnection>,
     requests: BTreeMap<RequestId, Request>,
     eligibility: Eligibility,
     slow_start: SlowStart,
-    /// Since when the clients of a sidecar are drained.
+    /// When the clients of each drained sidecar were drained.
     drained_since: FxHashMap<usize, Duration>,
-    /// When a sidecar last closed a connection to a server on which the head of a request was incomplete.
+    /// When each sidecar last closed a connection to a server on which the head of a request was incomplete.
     last_cut_head: FxHashMap<usize, Duration>,
-    /// From when and until when a sidecar was last held up.
+    /// The period of the last hold-up of each sidecar.
     last_hold_up: FxHashMap<usize, Range<Duration>>,
-    /// When a sidecar was asked to terminate.
+    /// When each sidecar that terminates was asked to.
     terminating_since: FxHashMap<usize, Duration>,
     pending_connects: PendingConnects,
     backlogs: Backlogs,
-    /// Until when a sidecar counts as short of descriptors.
+    /// The time until which a sidecar counts as short of descriptors.
     short_of_descriptors_until: FxHashMap<usize, Duration>,
     report: Report,
 }
@@ -120,17 +120,17 @@
         self.roles.get(host.index()).copied().unwrap_or(Role::Other)
     }
 
-    /// What happened so far, a line for each event; empty unless a timeline was wanted.
+    /// Returns everything that has happened, one line per event; empty if no timeline is recorded.
     pub fn timeline(&self) -> String {
         self.report.timeline_text()
     }
 
-    /// The first rule that was broken.
+    /// Returns the first violation.
     pub fn violation(&self) -> Option<&Violation> {
         self.report.violation.as_ref()
     }
 
-    /// How often each outcome was met.
+    /// Returns the number of times that each outcome occurred.
     pub fn counts(&self) -> &Counts {
         &self.report.counts
     }
@@ -145,13 +145,13 @@
         self.report.count(label);
     }
 
-    /// Reports that a rule is broken which is not about a single request.
+    /// Reports a violation that does not concern a single request.
     pub fn violate(&mut self, now: Duration, rule: Rule, message: String) {
         self.report_breach(now, Breach { rule, message }, None);
     }
 
-    /// Reports that a rule is broken, with the history of the request in question. Only the first
-    /// violation of a run counts.
+    /// Reports a violation, with the history of the request that it concerns. Only the first violation of a run
+    /// counts.
     fn report_breach(&mut self, now: Duration, breach: Breach, request: Option<RequestId>) {
         if self.report.violation.is_some() {
             return;
@@ -164,7 +164,7 @@
         self.report.violation = Some(Violation { rule, at: now, message, history });
     }
 
-    /// The client connection with this id, tracked from now on; none if it is to a server.
+    /// Returns the client connection with this id and tracks it from now on; `None` if it is a connection to a server.
     fn client_connection(&mut self, id: ConnectionId) -> Option<&mut ClientConnection> {
         let new = || TrackedConnection::Client(ClientConnection::default());
         match self.connections.entry(id).or_insert_with(new) {
--- a/crates/simulation/src/oracle/report.rs
+++ b/crates/simulation/src/oracle/report.rs
@@ -1,4 +1,4 @@
-//! What the oracle reports: the first violation, a timeline and counts.
+//! The report of the oracle: the first violation, a timeline and counts.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -6,23 +6,23 @@
 
 use super::rule::Rule;
 
-/// How often each outcome was met, by label.
+/// The number of times that each outcome occurred, by label.
 pub type Counts = BTreeMap<&'static str, u64>;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// The virtual time.
+    /// The virtual time of the violation.
     pub at: Duration,
-    /// What happened.
+    /// A description of the violation.
     pub message: String,
-    /// The history of the request in question, in several lines; empty if it is not about one.
+    /// The history of the request that the violation concerns, in several lines; empty if there is none.
     pub history: String,
 }
 
-/// That a rule is broken, and how.
+/// A rule that is broken, and a description.
 #[derive(Debug)]
 pub(super) struct Breach {
     pub(super) rule: Rule,
@@ -38,9 +38,9 @@
 /// The report of a run.
 #[derive(Debug, Default)]
 pub(super) struct Report {
-    /// Present if a timeline is wanted.
+    /// The events so far; `None` if no timeline is recorded.
     timeline: Option<Vec<(Duration, String)>>,
-    /// The first one.
+    /// The first violation.
     pub(super) violation: Option<Violation>,
     pub(super) counts: Counts,
 }
@@ -61,7 +61,7 @@
         *self.counts.entry(label).or_default() += 1;
     }
 
-    /// The timeline, a line for each event.
+    /// Returns the timeline, one line per event.
     pub(super) fn timeline_text(&self) -> String {
         let mut text = String::new();
         for (at, line) in self.timeline.iter().flatten() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The label under which responses of a status are counted.
+/// Returns the label under which responses with a status are counted.
 pub fn status_label(status: u16) -> &'static str {
     match status {
         200 => "answered 200",
--- a/crates/simulation/src/oracle/request.rs
+++ b/crates/simulation/src/oracle/request.rs
@@ -1,4 +1,4 @@
-//! What the oracle knows of a request and of its attempts.
+//! The state that the oracle keeps of each request and its attempts.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResponse {
     pub(super) status: u16,
-    /// Whether it says that the request was not executed.
+    /// Whether it declares that the request was not executed.
     pub(super) unprocessed: bool,
 }
 
-/// One sending of a request to a server.
+/// An attempt: a request as sent to one server.
 #[derive(Debug)]
 pub(super) struct Attempt {
     /// The index of the server.
@@ -30,9 +30,9 @@
     /// The remaining time that was passed on to the server.
     pub(super) time_left: Duration,
     pub(super) response: Option<AttemptResponse>,
-    /// Whether its server has executed it, whatever it answers.
+    /// Whether its server has executed it, whatever the response says.
     pub(super) executed: bool,
-    /// When the connection was closed, or the response complete.
+    /// When its response was complete or its connection closed.
     pub(super) ended_at: Option<Duration>,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRef {
     pub(super) request: RequestId,
-    /// The index among the attempts of the request.
+    /// The index of the attempt among those of the request.
     pub(super) index: usize,
 }
 
@@ -60,30 +60,30 @@
     pub(super) at: Duration,
 }
 
-/// What the oracle knows of a request.
+/// A request of a client.
 #[derive(Debug)]
 pub(super) struct Request {
     /// The index of its class.
     pub(super) class: usize,
     /// The index of the sidecar that it was sent to.
     pub(super) sidecar: usize,
-    /// The time that its client gives it.
+    /// The client's timeout for it.
     pub(super) timeout: Duration,
     /// When its client wrote its last byte.
     pub(super) sent_at: Option<Duration>,
     /// When the sidecar had read its last byte.
     pub(super) received_at: Option<Duration>,
-    /// Whether all of it had arrived when the sidecar ended its connection, read or not.
+    /// Whether all of it had arrived, read or not, when the sidecar closed its connection.
     pub(super) closed_after_arrival: bool,
     pub(super) response: Option<FinalResponse>,
     pub(super) attempts: Vec<Attempt>,
-    /// When a response began that is too long to be buffered.
+    /// When a response that is too long to be buffered began.
     pub(super) streaming_since: Option<Duration>,
-    /// Since when no response is owed: its client has left, or its sidecar was killed.
+    /// The time since which no response is owed, because its client has left or its sidecar was killed.
     pub(super) excused_since: Option<Duration>,
     /// When its client closed the connection on purpose.
     pub(super) client_left_at: Option<Duration>,
-    /// How long the sidecar may assume that it waited to be accepted.
+    /// The longest time that it can have waited to be accepted, as far as the sidecar knows.
     pub(super) assumed_accept_wait: Duration,
     /// The servers that have executed it.
     pub(super) executed_by: Vec<usize>,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Whether a server may have executed it.
+    /// Whether any server may have executed it.
     pub(super) fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_executed)
     }
 
-    /// Everything that is known of it, in several lines.
+    /// Returns a description of the request and its attempts, in several lines.
     pub(super) fn history(&self, id: RequestId, class: &ClassProfile) -> String {
         let mut text = String::new();
         let _ = writeln!(
--- a/crates/simulation/src/oracle/responses.rs
+++ b/crates/simulation/src/oracle/responses.rs
@@ -1,4 +1,4 @@
-//! The rules on responses: `held`, `late` and `refusal` for those to clients, `stalled` and `waits` for
+//! Checks the rules on responses: `held`, `late` and `refusal` on those to clients, `stalled` and `waits` on
 //! those of servers.
 
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use super::rule::Rule;
 use crate::model::RequestId;
 
-/// How soon a request that has failed is answered once nothing is outstanding for it.
-const PROMPT: Duration = Duration::from_millis(100);
-/// This long before its deadline a request may be failed because of the deadline.
+/// The time within which a failed request is answered once nothing is outstanding for it.
+const FAILURE_RESPONSE_TIME: Duration = Duration::from_millis(100);
+/// The time before its deadline from which on a request may fail because of the deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// How much longer than the longest gap a response that makes no progress may be waited for.
+/// The tolerance of the longest wait for the next bytes of a response.
 const STALL_TOLERANCE: Duration = Duration::from_millis(100);
-/// How much longer than its deadline an attempt without a response may be outstanding.
+/// The tolerance of the deadline of an attempt without a response.
 const WAIT_TOLERANCE: Duration = Duration::from_millis(100);
 
 impl Oracle {
-    /// The last byte of a response to a client was written.
+    /// Checks a response to a client once its last byte was written.
     pub(super) fn response_completed(&mut self, now: Duration, id: RequestId, status: u16) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.response = Some(FinalResponse { status, at: now });
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The rule `held`: a failure is reported as soon as nothing is outstanding for the request.
+    /// Checks the rule `held`: a failure is reported as soon as nothing is outstanding for the request.
     fn check_prompt_failure(
         &self,
         now: Duration,
@@ -48,18 +48,19 @@
             return None;
         }
         let idle_since = self.idle_since(request)?;
-        // Close to the deadline it may have waited for an attempt of which no byte was written.
+        // Close to the deadline the sidecar may have waited for an attempt of which no byte was written.
         let deadline = request.received_at.unwrap_or_default() + request.timeout;
         let before_deadline = now + DEADLINE_MARGIN + request.assumed_accept_wait < deadline;
         let held_up = self.held_up_since(idle_since, now, request.sidecar);
-        (now > idle_since + held_up + PROMPT && before_deadline).then(|| {
-            let message = format!("failed, and answered only {:?} later", now - idle_since);
+        (now > idle_since + held_up + FAILURE_RESPONSE_TIME && before_deadline).then(|| {
+            let message = format!("answered {:?} after the request had failed", now - idle_since);
             Breach::new(Rule::Held, message)
         })
     }
 
-    /// Since when nothing has been outstanding for a request: neither itself nor an attempt nor a
-    /// connection of its sidecar, of which it is not known which request it is for. None if something is.
+    /// Returns the time since which nothing has been outstanding for a request; `None` if something is. Outstanding are
+    /// the request itself until it is received, its attempts, and connections and heads of its sidecar that cannot
+    /// be assigned to a request.
     fn idle_since(&self, request: &Request) -> Option<Duration> {
         let sidecar = request.sidecar;
         let sends_head = |connection: &TrackedConnection| match connection {
@@ -78,14 +79,14 @@
         ends?.into_iter().chain([request.received_at?, last_connect, last_cut_head]).max()
     }
 
-    /// The rule `late`.
+    /// Checks the rule `late`.
     fn check_response_in_time(
         &self,
         now: Duration,
         id: RequestId,
         request: &Request,
     ) -> Option<Breach> {
-        // One that was accepted only after its deadline cannot be answered in time.
+        // A request that was accepted only after its deadline cannot be answered in time.
         let waited = request.received_at.zip(request.sent_at);
         let accepted_late =
             waited.is_some_and(|(received, sent)| received > sent + request.timeout);
@@ -93,18 +94,19 @@
             || accepted_late
             || self.streams_in_time(id)
             || self.response_deadline(id).is_none_or(|deadline| now <= deadline);
-        (!in_time).then(|| Breach::new(Rule::Late, "answered too late"))
+        (!in_time).then(|| Breach::new(Rule::Late, "answered after the deadline"))
     }
 
-    /// The rule `refusal`.
+    /// Checks the rule `refusal`.
     fn check_refusal(&self, request: &Request, status: u16) -> Option<Breach> {
         let refused = matches!(status, 429 | 503);
         let idempotent = self.limits.classes[request.class].repeat == Idempotency::Idempotent;
-        (refused && request.may_have_executed() && !idempotent)
-            .then(|| Breach::new(Rule::Refusal, "rejected though an attempt may have executed"))
+        (refused && request.may_have_executed() && !idempotent).then(|| {
+            Breach::new(Rule::Refusal, "rejected although an attempt may have been executed")
+        })
     }
 
-    /// The sidecar has read a complete response to an attempt.
+    /// Records that the sidecar has read a complete response to an attempt.
     pub(super) fn attempt_answered(
         &mut self,
         now: Duration,
@@ -123,9 +125,9 @@
         });
     }
 
-    /// The sidecar has closed the connection of an attempt, which ends it if it is not answered. The rule
-    /// `waits`: one without any response is not waited for beyond its deadline. `last_progress`: when
-    /// bytes of an incomplete response last came.
+    /// Records that the sidecar has closed the connection of an attempt, which cancels the attempt unless it was
+    /// answered. Checks the rule `waits`: an attempt without any response does not outlive its deadline.
+    /// `last_progress` is the time at which bytes of an incomplete response last arrived.
     pub(super) fn attempt_cancelled(
         &mut self,
         now: Duration,
@@ -142,7 +144,8 @@
         let tolerance = WAIT_TOLERANCE + self.limits.longest_hold_up;
         let deadline = complete_at.map(|at| at + time_left + tolerance);
         if last_progress.is_none() && deadline.is_some_and(|deadline| now > deadline) {
-            let message = format!("{time_left:?} were passed on, and it is still outstanding");
+            let message =
+                format!("an attempt is outstanding after the {time_left:?} that were passed on");
             self.report_breach(now, Breach::new(Rule::Waits, message), Some(id));
         }
         self.note(now, || format!("{id} is cancelled on connection {connection}"));
@@ -153,8 +156,8 @@
         });
     }
 
-    /// The rule `stalled`: a response to an attempt continues, or is given up, and nothing of it has come
-    /// since `last_progress`.
+    /// Checks the rule `stalled` when a response to an attempt continues or is given up. `last_progress` is the time
+    /// at which its previous bytes arrived.
     pub(super) fn check_stalled(
         &mut self,
         now: Duration,
@@ -173,7 +176,7 @@
         let limit = last_progress + self.limits.max_response_gap + tolerance;
         if wanted && outstanding && now > limit {
             let message =
-                format!("no byte of a response since {last_progress:?}, and it was waited for");
+                format!("waited for a response without a byte of it since {last_progress:?}");
             self.report_breach(now, Breach::new(Rule::Stalled, message), Some(attempt.request));
         }
     }
--- a/crates/simulation/src/oracle/rule.rs
+++ b/crates/simulation/src/oracle/rule.rs
@@ -7,37 +7,37 @@
 pub enum Rule {
     /// A request is not served with the response of another one.
     Answer,
-    /// A request that was received does not end without a response.
+    /// The connection of a request that was received does not end without a response.
     Lost,
     /// An attempt without any response does not outlive the deadline passed on to its server.
     Waits,
-    /// Responses come before the request's deadline.
+    /// A request is answered by its deadline.
     Late,
     /// A request that is not idempotent is not sent again once it may have been executed.
     Repeat,
-    /// A request that is not idempotent is executed once at most.
+    /// A request that is not idempotent is executed at most once.
     Twice,
-    /// A request with an idempotency key is repeated in the same zone only.
+    /// A request with an idempotency key is retried only in the zone of its first attempt.
     Group,
-    /// A request with an idempotency key is repeated only while servers remember the key.
+    /// A request with an idempotency key is retried only while servers remember the key.
     Window,
     /// 429 and 503 mean that the request was not executed, unless it is idempotent.
     Refusal,
-    /// A request that has failed is answered at once.
+    /// A request that has failed is answered without delay.
     Held,
-    /// Nothing is sent for a request that was answered, or whose client has left.
+    /// Nothing is sent to servers for a request that was answered or whose client has left.
     After,
-    /// The remaining time is passed on, and never grows.
+    /// The remaining time is passed on to servers, and never exceeds what is left of the client's timeout.
     Deadline,
     /// A server that is draining, gone or disabled gets no new requests.
     Drain,
-    /// A server in slow start gets no more work than it can bear.
+    /// A server in slow start gets no more work than its capacity allows.
     Cold,
-    /// A short response that does not make progress is not waited for.
+    /// A short response that makes no progress is given up.
     Stalled,
-    /// Clients of a drained sidecar stop using the connections that they had.
+    /// Clients of a drained sidecar stop using the connections from before the drain.
     Away,
-    /// Callers of the admin listener are answered or closed in time.
+    /// Callers of the admin listener are answered, or their connections closed, in time.
     Caller,
     /// Sidecars do not connect to sidecars.
     Loop,
@@ -45,9 +45,9 @@
     Stranger,
     /// A sidecar stays within its limit of descriptors.
     Sockets,
-    /// Requests are served again some time after the last fault.
+    /// Some time after the last fault, requests are served again.
     Recovery,
-    /// A sidecar without load holds no more tasks and sockets than at first.
+    /// A sidecar without load holds no more tasks and sockets than before the load.
     LeftOver,
     /// A sidecar that is asked to terminate does so in time.
     End,
@@ -56,7 +56,7 @@
 }
 
 impl Rule {
-    /// The name as it is printed and documented.
+    /// Returns the name that is printed and documented.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Answer => "answer",
--- a/crates/simulation/src/oracle/servers.rs
+++ b/crates/simulation/src/oracle/servers.rs
@@ -1,4 +1,4 @@
-//! What servers and discovery report, and the rules `stranger` and `twice` on executions.
+//! Records what servers and discovery report, and checks the rules `stranger` and `twice` on executions.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::model::RequestId;
 
 impl Oracle {
-    /// A server has started, cold; `replaced`: as another one than before.
+    /// Records that a server has started, in slow start. `replaced` tells whether it has another name than before.
     pub fn server_started(&mut self, now: Duration, server: usize, replaced: bool) {
         self.note(now, || format!("server {server} starts"));
         if replaced {
@@ -20,11 +20,11 @@
         self.slow_start.server_started(now, server);
     }
 
-    /// A server has executed a request.
+    /// Records that a server has executed a request.
     pub fn request_executed(&mut self, now: Duration, id: RequestId, server: usize) {
         self.note(now, || format!("{id} is executed by server {server}"));
         let Some(request) = self.requests.get_mut(&id) else {
-            let message = format!("{id} is executed, and no client has sent it");
+            let message = format!("{id} is executed, but no client has sent it");
             return self.violate(now, Rule::Stranger, message);
         };
         request.executed_by.push(server);
@@ -33,8 +33,8 @@
             attempt.executed = true;
         }
         let executions = request.executed_by.len();
-        // A request with a key that was repeated by the rules may still arrive too late to be recognized.
-        // The rules on repetition are checked where it is sent.
+        // A retry that keeps the rules may still arrive after its server has forgotten the idempotency key, so
+        // retries of keyed requests are checked when they are sent.
         let repeat = self.limits.classes[request.class].repeat;
         if repeat == Idempotency::NonIdempotent && executions > 1 {
             let breach = Breach::new(Rule::Twice, format!("executed {executions} times"));
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Discovery has written to a sidecar whether a server is to get new requests.
+    /// Records that discovery has written to a sidecar whether a server is active, that is, gets new requests.
     pub fn endpoint_written(&mut self, now: Duration, sidecar: usize, server: usize, active: bool) {
         let pair = Pair { sidecar, server };
         if active {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A sidecar's own agent knows whether a server is to get new requests.
+    /// Records that a sidecar's agent knows whether a server is active.
     pub fn agent_updated(&mut self, now: Duration, sidecar: usize, server: usize, active: bool) {
         if active {
             self.endpoint_written(now, sidecar, server, true);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The agents are no longer available.
+    /// Records that the agents are no longer available.
     pub fn agents_unavailable(&mut self, now: Duration) {
         self.eligibility.agents_unavailable(now);
     }
--- a/crates/simulation/src/oracle/slow_start.rs
+++ b/crates/simulation/src/oracle/slow_start.rs
@@ -1,4 +1,4 @@
-//! The rule `cold`: a server that has just started gets no more work than it can bear.
+//! Checks the rule `cold`: a server in slow start gets no more work than its capacity allows.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use super::rule::Rule;
 use crate::model::slow_start_speed;
 
-/// After this time every sidecar counts as informed of a server's start.
+/// The time after a server's start from which on every sidecar counts as informed of it.
 const INFORMED_AFTER: Duration = Duration::from_secs(8);
-/// What chance may multiply the work that a cold server gets by.
-const CHANCE_FACTOR: f64 = 1.1;
-/// What chance may add to the work that a cold server gets.
-const CHANCE_WORK: Duration = Duration::from_millis(100);
+/// The factor by which random variation may exceed the budget of a server in slow start.
+const VARIATION_FACTOR: f64 = 1.1;
+/// The work by which random variation may exceed the budget of a server in slow start, in addition to the factor.
+const VARIATION_WORK: Duration = Duration::from_millis(100);
 
 /// Work that was sent to a server.
 #[derive(Debug)]
@@ -28,25 +28,25 @@
 #[derive(Debug)]
 struct ColdServer {
     started_at: Duration,
-    /// The sidecars that were informed of its start.
+    /// The sidecars that were informed that the server may be used.
     informed: BTreeSet<usize>,
-    /// What was sent within the window.
+    /// The work that was sent within the window.
     recent: VecDeque<SentWork>,
 }
 
-/// The work that a cold server got within the window.
+/// The work that was sent to a server in slow start within the window.
 #[derive(Debug)]
 pub(super) struct ColdServerLoad {
     server: usize,
     age: Duration,
     total: Duration,
-    /// What came from sidecars that were informed of the server's start.
+    /// The part of the total that sidecars sent which were informed of the server's start.
     informed: Duration,
     budget: Duration,
 }
 
 impl ColdServerLoad {
-    /// The label that it is counted under.
+    /// Returns the label under which the load is counted.
     pub(super) fn label(&self) -> &'static str {
         match self.total.as_secs_f64() / self.budget.as_secs_f64() {
             0.0..0.25 => "slow start: under a quarter of the budget",
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Too much work, two thirds of it or more from sidecars that were informed.
+    /// Returns a breach if the work exceeds the budget and at least two thirds of it come from informed sidecars.
     pub(super) fn check(&self) -> Option<Breach> {
         let ColdServerLoad { server, age, total, informed, budget } = self;
         let too_much = total > budget && 3 * *informed >= 2 * *total;
         too_much.then(|| {
             let message =
-                format!("{total:?} of work for server {server}, {age:?} old: {budget:?} at most");
+                format!("server {server} got {total:?} of work {age:?} after its start, at most {budget:?} allowed");
             Breach::new(Rule::Cold, message)
         })
     }
@@ -80,21 +80,22 @@
         self.servers.insert(server, cold);
     }
 
-    /// A sidecar was informed that a server may be used.
+    /// Records that a sidecar was informed that a server may be used.
     pub(super) fn inform(&mut self, sidecar: usize, server: usize) {
         if let Some(cold) = self.servers.get_mut(&server) {
             cold.informed.insert(sidecar);
         }
     }
 
-    /// A sidecar has started: it was informed of nothing yet.
+    /// Records that a sidecar has started: it was informed of nothing yet.
     pub(super) fn forget_sidecar(&mut self, sidecar: usize) {
         for cold in self.servers.values_mut() {
             cold.informed.remove(&sidecar);
         }
     }
 
-    /// Adds work that a sidecar has sent to a server; the server's load, if it has started during the run.
+    /// Adds work that a sidecar has sent to a server. Returns the server's load; `None` if it has not started during
+    /// the run.
     pub(super) fn record(
         &mut self,
         now: Duration,
@@ -116,7 +117,7 @@
             age,
             total: cold.recent.iter().map(|sent| sent.work).sum(),
             informed: cold.recent.iter().filter(|sent| sent.informed).map(|s| s.work).sum(),
-            budget: capacity.mul_f64(limits.multiple * CHANCE_FACTOR) + CHANCE_WORK,
+            budget: capacity.mul_f64(limits.multiple * VARIATION_FACTOR) + VARIATION_WORK,
         })
     }
 }
--- a/crates/simulation/src/oracle/traffic.rs
+++ b/crates/simulation/src/oracle/traffic.rs
@@ -1,4 +1,4 @@
-//! The oracle as the network's tap: what passes on the connections is followed as HTTP messages.
+//! The oracle's tap on the network, which follows the HTTP messages on each connection.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use super::{Oracle, Role};
 use crate::http_framing::MessagePart;
 
-/// The longest response that a sidecar buffers, in bytes. A longer one is passed on as it comes, and its
-/// parts may be further apart.
+/// The longest response that a sidecar buffers, in bytes. A longer one is streamed, and the gaps between its parts
+/// may be longer.
 const MAX_BUFFERED_RESPONSE: u64 = 64 << 10;
 
-/// Shows everything that passes on the network to the oracle.
+/// Passes every network event to the oracle.
 pub struct OracleTap(pub Rc<RefCell<Oracle>>);
 
 impl Tap for OracleTap {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The status in the head of a response; 0 if there is none.
+/// Returns the status in the head of a response; 0 if there is none.
 fn status(head: &str) -> u16 {
     head.get(9..12).and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
@@ -65,12 +65,12 @@
     }
 }
 
-/// Whether the response with this head says that the request was not executed, and nothing else about that.
+/// Whether the response with this head declares that the request was not executed, and does not contradict itself.
 fn is_unprocessed(head: &str, status: u16) -> bool {
     let headers = head.lines().filter_map(|line| line.split_once(':'));
-    let told = headers.filter(|(name, _)| name.trim().eq_ignore_ascii_case("x-unprocessed"));
-    let told: Vec<&str> = told.map(|(_, value)| value.trim()).collect();
-    matches!(status, 503 | 504) && told == ["1"]
+    let values = headers.filter(|(name, _)| name.trim().eq_ignore_ascii_case("x-unprocessed"));
+    let values: Vec<&str> = values.map(|(_, value)| value.trim()).collect();
+    matches!(status, 503 | 504) && values == ["1"]
 }
 
 impl Oracle {
@@ -93,7 +93,7 @@
                 }
             }
             (Role::Sidecar { index: a }, Role::Sidecar { index: b }) => {
-                self.violate(now, Rule::Loop, format!("sidecar {a} has called sidecar {b}"));
+                self.violate(now, Rule::Loop, format!("sidecar {a} has connected to sidecar {b}"));
             }
             _ => {}
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A client has written bytes of a request.
+    /// Records bytes of a request that a client has written.
     fn request_bytes_sent(&mut self, now: Duration, connection: ConnectionId, bytes: &[u8]) {
         let Some(client) = self.client_connection(connection) else { return };
         let before = client.written;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A sidecar has written bytes of a response to a client.
+    /// Follows bytes of a response that a sidecar has written to a client.
     fn response_bytes_sent(&mut self, now: Duration, connection: ConnectionId, bytes: &[u8]) {
         let Some(TrackedConnection::Client(client)) = self.connections.get_mut(&connection) else {
             return;
@@ -171,7 +171,7 @@
             request.streaming_since.get_or_insert(now);
             self.count("streamed responses started");
         }
-        // Only the first of several responses can be the one to the open request.
+        // Only the first of several responses can belong to the open request.
         let mut open = open;
         for status in completed {
             match open.take() {
@@ -181,13 +181,13 @@
         }
     }
 
-    /// A sidecar has written bytes of a request to a server.
+    /// Follows bytes of a request that a sidecar has written to a server.
     fn attempt_bytes_sent(&mut self, now: Duration, connection: ConnectionId, bytes: &[u8]) {
         let Some(TrackedConnection::Upstream(upstream)) = self.connections.get_mut(&connection)
         else {
             return;
         };
-        // Heads, and none for the last byte of a request.
+        // A head is `Some`, the last byte of a request is `None`.
         let mut parts = Vec::new();
         upstream.requests.feed(bytes, |part| match part {
             MessagePart::FirstByte => {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// A sidecar has read bytes of a request.
+    /// Records bytes of a request that a sidecar has read.
     fn request_bytes_read(&mut self, now: Duration, connection: ConnectionId, bytes: &[u8]) {
         let Some(TrackedConnection::Client(client)) = self.connections.get_mut(&connection) else {
             return;
@@ -238,7 +238,7 @@
         }
     }
 
-    /// A sidecar has read bytes of a server's response.
+    /// Follows bytes of a server's response that a sidecar has read.
     fn attempt_response_bytes_read(
         &mut self,
         now: Duration,
@@ -252,9 +252,9 @@
         let mut completed = Vec::new();
         let last_progress = upstream.last_progress.take();
         upstream.responses.feed(bytes, |part| match part {
-            MessagePart::FirstByte => upstream.streams = false,
+            MessagePart::FirstByte => upstream.is_streamed = false,
             MessagePart::Head(head) => {
-                upstream.streams = is_streamed(head);
+                upstream.is_streamed = is_streamed(head);
                 let status = status(head);
                 let unprocessed = is_unprocessed(head, status);
                 upstream.response = AttemptResponse { status, unprocessed };
@@ -262,7 +262,7 @@
             MessagePart::LastByte => completed.push(upstream.response),
         });
         let incomplete = upstream.responses.is_inside_message();
-        upstream.last_progress = (incomplete && !upstream.streams).then_some(now);
+        upstream.last_progress = (incomplete && !upstream.is_streamed).then_some(now);
         let current = upstream.current;
         self.check_stalled(now, last_progress, current);
         for response in completed {
@@ -272,7 +272,8 @@
         }
     }
 
-    /// A sidecar ends a client's connection, if it is one: what had arrived by then stays without a response.
+    /// Records that a sidecar has closed a client's connection: a request that had arrived by then gets no response.
+    /// Does nothing for other connections.
     fn client_connection_ended(&mut self, connection: ConnectionId, by: HostId, unread: usize) {
         let Role::Sidecar { .. } = self.role(by) else { return };
         let Some(client) = self.client_connection(connection) else { return };
--- a/crates/simulation/src/run/addresses.rs
+++ b/crates/simulation/src/run/addresses.rs
@@ -1,17 +1,17 @@
-//! The addresses of the simulated hosts. All are loopback addresses, one network for each kind of host.
+//! The addresses of the simulated hosts. All are loopback addresses, with one subnet for each kind of host.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Where a sidecar listens for clients, and a server for sidecars.
+/// The port of sidecars for clients, and of servers for sidecars.
 const REQUEST_PORT: u16 = 3000;
-/// Where a sidecar receives gossip.
+/// The port of sidecars for gossip.
 const GOSSIP_PORT: u16 = 7946;
-/// Where a sidecar listens for operators.
+/// The port of the admin listener of sidecars.
 const ADMIN_PORT: u16 = 9800;
-/// Where discovery listens.
+/// The port of discovery.
 const DISCOVERY_PORT: u16 = 8500;
 
-/// Kinds of hosts, by the third octet of their addresses.
+/// The kinds of hosts. The value is the third octet of their addresses.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub(super) enum HostKind {
@@ -22,7 +22,7 @@
     Operators = 5,
 }
 
-/// The address of the `index`-th host of a kind, from 0.
+/// Returns the address of the host with this index, from 0, among those of its kind.
 pub(super) fn ip(kind: HostKind, index: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, kind as u8, index as u8 + 1))
 }
--- a/crates/simulation/src/run/conditions.rs
+++ b/crates/simulation/src/run/conditions.rs
@@ -1,5 +1,5 @@
-//! What lasts while faults are active: the faults of servers, the state of links, the behaviour of clients
-//! and of discovery, and limits of descriptors.
+//! The conditions that last while faults are active: the faults of servers, the state of links, the behaviour of
+//! clients and of discovery, and the limits of descriptors.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use crate::scenario::FaultKind;
 use crate::server::ServerFaults;
 
-/// The smallest window on the way to a server where bodies are long, in bytes: byte by byte they would
-/// take minutes.
+/// The smallest window of connections to a server in scenarios with long bodies, in bytes. With a window of a few
+/// bytes, a long body would take minutes.
 const MIN_WINDOW_FOR_LONG_BODIES: usize = 4096;
 
 /// The links between a sidecar and a server.
@@ -29,25 +29,25 @@
     }
 }
 
-/// The sum of the active faults.
+/// The combined effect of the active faults.
 #[derive(Debug)]
 struct Conditions {
-    /// By server.
+    /// The faults of each server.
     servers: Vec<ServerFaults>,
-    /// By server.
+    /// The links of each server.
     links: Vec<ServerLinks>,
     clients: ClientBehaviour,
     discovery: DiscoveryMode,
-    /// How long an answer of discovery is on its way.
+    /// The delay of each answer of discovery.
     discovery_delay: Duration,
     /// The probability that a datagram between sidecars is lost.
     gossip_loss: f64,
-    /// By sidecar.
+    /// Whether each sidecar has no descriptors left.
     descriptors_exhausted: Vec<bool>,
 }
 
 impl Conditions {
-    /// The conditions without any fault.
+    /// Returns the conditions without any fault.
     fn new(servers: usize, sidecars: usize) -> Conditions {
         Conditions {
             servers: vec![ServerFaults::default(); servers],
@@ -184,7 +184,8 @@
 }
 
 impl Simulation<'_> {
-    /// Sets everything that lasts anew from the faults that are active; `active`: by fault.
+    /// Applies the conditions of the active faults, and none of any other. `active` tells for each fault of the
+    /// scenario whether it is active.
     pub(super) fn apply_conditions(&mut self, active: &[bool]) {
         let faults = &self.scenario.faults;
         let mut conditions = Conditions::new(self.servers.len(), self.sidecars.len());
@@ -228,7 +229,7 @@
 
     fn apply_descriptor_limit(&self, sidecar: &SidecarProcess, conditions: &Conditions) {
         let exhausted = conditions.descriptors_exhausted[sidecar.index];
-        // One more than it has: what it closes it may open again.
+        // One more than are open, so that the sidecar can replace a socket that it closes.
         let limit = match exhausted {
             true => self.world.open_sockets(sidecar.host) + 1,
             false => self.scenario.sockets,
--- a/crates/simulation/src/run/fault_events.rs
+++ b/crates/simulation/src/run/fault_events.rs
@@ -1,4 +1,4 @@
-//! What happens at the moment when a fault begins or ends.
+//! The events at the beginning and at the end of a fault.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::server::Server;
 
-/// A killed sidecar is started again after this time at the latest, in milliseconds.
+/// The longest time until a killed sidecar is started again, in milliseconds.
 const MAX_DOWNTIME_MS: u64 = 1000;
 /// The latency objective that a reload sets for the first class, in microseconds.
 const RELOADED_AIM_US: u64 = 140_000;
@@ -27,7 +27,7 @@
         self.servers[index % self.servers.len()].clone()
     }
 
-    /// Applies the beginning or the end of a fault. What lasts in between is applied by
+    /// Applies the beginning or the end of a fault. The conditions in between are applied by
     /// [`apply_conditions`](Simulation::apply_conditions).
     pub(super) fn apply_fault_edge(&mut self, fault: &Fault, begins: bool) {
         match &fault.kind {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Applies the beginning of a fault of which nothing is undone at its end.
+    /// Applies the beginning of a fault that needs no action at its end.
     fn apply_fault_start(&mut self, fault: &Fault) {
         let duration = Duration::from_millis(fault.for_ms);
         match &fault.kind {
@@ -77,15 +77,16 @@
             FaultKind::DisableServer { sidecar, server } => {
                 let server = self.server(*server);
                 let (index, name) = (server.index(), server.name());
-                self.operate(*sidecar, |operators, target| {
+                self.spawn_operators(*sidecar, |operators, target| {
                     Box::pin(operators.disable_server(target, index, name, duration))
                 });
             }
-            FaultKind::DrainClients { sidecar } => self.operate(*sidecar, |operators, target| {
-                Box::pin(operators.drain_clients(target, duration))
-            }),
+            FaultKind::DrainClients { sidecar } => self
+                .spawn_operators(*sidecar, |operators, target| {
+                    Box::pin(operators.drain_clients(target, duration))
+                }),
             FaultKind::MalformedAdminCalls { sidecar } => {
-                self.operate(*sidecar, |operators, target| {
+                self.spawn_operators(*sidecar, |operators, target| {
                     Box::pin(operators.make_malformed_calls(target))
                 });
             }
@@ -106,7 +107,7 @@
         let server = self.server(server);
         if begins && server.mark_down() {
             self.world.kill(server.host(), HostFailure::ProcessKilled);
-            self.list_server(&server, "left");
+            self.update_endpoint(&server, "left");
             server.replace_incarnation();
         } else if !begins && server.is_down() {
             self.start_server(&server);
@@ -116,48 +117,48 @@
     fn drain_server(&mut self, server: usize, begins: bool) {
         let server = self.server(server);
         if begins {
-            self.list_server(&server, "leaving");
+            self.update_endpoint(&server, "leaving");
             server.set_draining(true);
         } else if !server.is_down() {
             server.set_draining(false);
-            self.list_server(&server, "active");
+            self.update_endpoint(&server, "active");
         }
     }
 
     fn unlist_server(&mut self, server: usize, begins: bool) {
         let server = self.server(server);
         if begins || !server.is_down() {
-            self.list_server(&server, if begins { "left" } else { "active" });
+            self.update_endpoint(&server, if begins { "left" } else { "active" });
         }
     }
 
-    /// Starts the server of a place again, cold.
+    /// Starts a server again, in slow start.
     fn start_server(&mut self, server: &Rc<Server>) {
         self.world.revive(server.host());
         let now = self.now();
         let replaced = server.mark_started(now);
         self.oracle.borrow_mut().server_started(now, server.index(), replaced);
         self.world.spawn(server.host(), server.clone().run(self.start));
-        self.list_server(server, "active");
+        self.update_endpoint(server, "active");
     }
 
-    /// Changes the entry of a server in the endpoint list.
-    fn list_server(&self, server: &Server, health: &'static str) {
+    /// Sets the health of a server in the endpoint list.
+    fn update_endpoint(&self, server: &Server, health: &'static str) {
         let entry = endpoint_entry(server, health);
-        self.discovery.change(self.now(), |book| book.update(entry));
+        self.discovery.change(self.now(), |endpoints| endpoints.update(entry));
     }
 
-    /// An agent counts its own versions, and may begin anew. Those of a discovery that is polled stand for
-    /// one history; what it can lose is the changes between them.
+    /// Restarts discovery. An agent counts its own versions, and starts the count again. The versions of a discovery
+    /// that is polled identify one history across restarts; it loses only the changes between them.
     fn restart_discovery(&mut self) {
         let polled = self.scenario.discovery_polled;
-        self.discovery.change(self.now(), |book| match polled {
-            true => book.forget_changes(),
-            false => *book = EndpointList::new(book.entries().to_vec()),
+        self.discovery.change(self.now(), |endpoints| match polled {
+            true => endpoints.forget_changes(),
+            false => *endpoints = EndpointList::new(endpoints.entries().to_vec()),
         });
     }
 
-    /// Lets a sidecar read a configuration with another latency objective, or half of one.
+    /// Makes a sidecar reload its configuration: a valid one with another latency objective, or a truncated one.
     fn reload_configuration(&mut self, sidecar: usize, valid: bool) {
         let sidecar = &self.sidecars[sidecar % self.sidecars.len()];
         let mut config: Value = serde_json::from_str(&sidecar.initial_config).unwrap_or_default();
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Spawns what operators do at a sidecar.
-    fn operate(
+    /// Spawns an action of the operators at a sidecar.
+    fn spawn_operators(
         &self,
         sidecar: usize,
         action: impl FnOnce(Rc<Operators>, AdminTarget) -> BoxedFuture,
--- a/crates/simulation/src/run/final_checks.rs
+++ b/crates/simulation/src/run/final_checks.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked at the end: `recovery`, `left over` and `end`.
+//! Checks the rules that apply at the end of a run: `recovery`, `left over` and `end`.
 
 use std::time::Duration;
 
@@ -6,55 +6,55 @@
 use crate::oracle::{Rule, Served};
 use crate::scenario::FAULTS_END_MS;
 
-/// How long after the last fault requests are served again.
+/// The time after the last fault within which sidecars recover.
 const RECOVERY_TIME: Duration = Duration::from_millis(5000);
-/// The share of requests that is served then.
+/// The share of requests that are served after the recovery.
 const RECOVERED_SHARE: f64 = 0.95;
-/// This many may fail all the same: requests on connections that a fault left dead, and those that are
-/// shed because they are late.
+/// The number of requests that may fail after the recovery: those on connections that a fault left dead, and those
+/// that are shed because they are late.
 const TOLERATED_FAILURES: u64 = 6;
-/// Requests sent later may not have their response at the end of the load.
+/// The time before the end of the load after which requests may have no response yet.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(800);
-/// How long sidecars may take to terminate at the end.
+/// The time within which sidecars terminate at the end of a run.
 const TERMINATION_TIME: Duration = Duration::from_secs(3);
 
 impl Simulation<'_> {
-    /// Measures what a sidecar holds before there is any load.
+    /// Measures the resources that a sidecar holds before there is any load.
     pub(super) fn measure_baseline(&mut self) {
         self.baseline = self.held_resources(&self.sidecars[0]);
         if self.scenario.discovery_polled {
-            // The connection to discovery, which may come later.
+            // The connection to discovery may be opened after this measurement.
             self.baseline.tasks += 1;
             self.baseline.sockets += 1;
         }
     }
 
-    /// The requests that were sent when the sidecars should have recovered from all faults.
+    /// Returns the counts of the requests that were sent after the recovery time.
     pub(super) fn recovery(&self) -> Served {
         let from = Duration::from_millis(FAULTS_END_MS) + RECOVERY_TIME;
         self.oracle.borrow().served_between(from, LOAD_END - RESPONSE_MARGIN)
     }
 
-    /// The rule `recovery`: some time after the last fault requests are served again.
+    /// Checks the rule `recovery`: some time after the last fault, requests are served again.
     pub(super) fn check_recovery(&mut self) {
         let Served { served, requests } = self.recovery();
         let failed = requests - served;
         if failed > TOLERATED_FAILURES && (served as f64) < RECOVERED_SHARE * requests as f64 {
-            let message = format!("{served} of {requests} served, seconds after the last fault");
+            let message = format!("{served} of {requests} requests served after the recovery time");
             self.oracle.borrow_mut().violate(self.now(), Rule::Recovery, message);
         }
     }
 
-    /// The rule `left over`: a sidecar without load holds no more than before there was any.
+    /// Checks the rule `left over`: a sidecar without load holds no more resources than before the load.
     pub(super) fn check_released(&mut self) {
-        if self.is_over() {
+        if self.is_rule_broken() {
             return;
         }
         for sidecar in &self.sidecars {
             let held = self.held_resources(sidecar);
             if held.tasks > self.baseline.tasks || held.sockets > self.baseline.sockets {
                 let message = format!(
-                    "sidecar {} holds {held:?} without load, {:?} at first",
+                    "sidecar {} holds {held:?} without load, and held {:?} before the load",
                     sidecar.index, self.baseline
                 );
                 self.oracle.borrow_mut().violate(self.now(), Rule::LeftOver, message);
@@ -63,9 +63,9 @@
         }
     }
 
-    /// The rule `end`: sidecars that are asked to terminate do so.
+    /// Checks the rule `end`: sidecars that are asked to terminate do so in time.
     pub(super) fn check_termination(&mut self) {
-        if self.is_over() {
+        if self.is_rule_broken() {
             return;
         }
         let now = self.now();
@@ -75,7 +75,7 @@
         let end = now + TERMINATION_TIME;
         let _ = self.world.run_until(end, || Ok::<(), std::convert::Infallible>(()));
         if let Some(sidecar) = self.sidecars.iter().find(|sidecar| !sidecar.ended.get()) {
-            let message = format!("sidecar {} does not end", sidecar.index);
+            let message = format!("sidecar {} has not terminated in time", sidecar.index);
             self.oracle.borrow_mut().violate(now, Rule::End, message);
         }
     }
--- a/crates/simulation/src/run/mod.rs
+++ b/crates/simulation/src/run/mod.rs
@@ -1,5 +1,5 @@
-//! One run: the world of a scenario is built, its faults begin and end, and the rules are checked after
-//! every step and at the end.
+//! A run of one scenario: builds the simulated world, applies the faults, and checks the rules after every step and
+//! at the end.
 
 mod addresses;
 mod conditions;
@@ -25,54 +25,54 @@
 use crate::scenario::{LOAD_END_MS, Scenario};
 use crate::server::Server;
 
-/// Clients begin to send requests.
+/// The time at which clients begin to send requests.
 const LOAD_START: Duration = Duration::from_millis(800);
-/// Just before, what a sidecar holds without load is measured.
+/// The time, just before the load, at which the resources of a sidecar without load are measured.
 const BASELINE_AT: Duration = Duration::from_millis(790);
-/// Clients send no new requests from then on.
+/// The time from which on clients send no new requests.
 const LOAD_END: Duration = Duration::from_millis(LOAD_END_MS);
-/// How long after the load everything is released.
+/// The time after the load within which sidecars release all resources.
 const RELEASE_TIME: Duration = Duration::from_secs(16);
-/// How often the processes of the sidecars are supervised.
+/// The interval at which the processes of the sidecars are supervised.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
-/// How many connections to discovery may wait to be accepted.
+/// The number of connections to discovery that may wait to be accepted.
 const DISCOVERY_BACKLOG: usize = 256;
 
-/// What a run came to.
+/// The result of a run.
 pub struct Outcome {
-    /// The first rule that was broken.
+    /// The first violation; `None` if no rule was broken.
     pub violation: Option<Violation>,
-    /// The hash over everything that happened on the network.
+    /// A hash of all events of the network.
     pub hash: u64,
-    /// How many events were hashed.
+    /// The number of events in the hash.
     pub event_count: u64,
     /// The virtual time that the run took.
     pub duration: Duration,
-    /// Requests, attempts and how they ended, by label.
+    /// The numbers of requests, attempts and their outcomes, by label.
     pub counts: Counts,
-    /// What passed on the network.
+    /// Counters of the network.
     pub network: NetworkStats,
-    /// The timeline; empty unless it was wanted.
+    /// The timeline; empty if none was recorded.
     pub timeline: String,
-    /// The requests of the last seconds, long after the last fault.
+    /// The requests that were sent after the recovery time, and those of them that were served.
     pub recovery: Served,
 }
 
 impl Outcome {
-    /// The number of requests.
+    /// Returns the number of requests.
     pub fn requests(&self) -> u64 {
         self.counts.get("requests").copied().unwrap_or(0)
     }
 }
 
-/// What an idle sidecar holds.
+/// The resources that a sidecar holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct HeldResources {
     tasks: usize,
     sockets: usize,
 }
 
-/// A run under way.
+/// A run in progress.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     world: World,
@@ -84,12 +84,12 @@
     discovery: Rc<Discovery>,
     discovery_host: HostId,
     sidecars: Vec<SidecarProcess>,
-    /// The clients of each sidecar, and the host that they are on.
+    /// The clients of each sidecar, with the host that they run on.
     clients: Vec<(HostId, Rc<Clients>)>,
-    /// Present if the scenario has faults by operators, with the host that they are on.
+    /// The operators, with the host that they run on; `None` if the scenario has no faults by operators.
     operators: Option<(HostId, Rc<Operators>)>,
     rng: SmallRng,
-    /// What a sidecar holds before there is any load.
+    /// The resources that a sidecar holds before there is any load.
     baseline: HeldResources,
 }
 
@@ -102,7 +102,7 @@
     fault: usize,
 }
 
-/// Runs a scenario; `with_timeline`: and records what happens.
+/// Runs a scenario. Records a timeline if `with_timeline` is set.
 pub fn run_scenario(scenario: &Scenario, with_timeline: bool) -> Outcome {
     let mut simulation = Simulation::new(scenario, with_timeline);
     simulation.run();
@@ -114,8 +114,8 @@
         self.world.now()
     }
 
-    /// Whether a rule was broken, which ends the run.
-    fn is_over(&self) -> bool {
+    /// Whether a rule was broken. That ends the run.
+    fn is_rule_broken(&self) -> bool {
         self.oracle.borrow().violation().is_some()
     }
 
@@ -130,7 +130,7 @@
             self.world.spawn(host, clients.run(self.start + LOAD_END));
         }
         self.play_faults();
-        if self.is_over() {
+        if self.is_rule_broken() {
             return;
         }
         self.advance_to(LOAD_END);
@@ -155,13 +155,13 @@
         true
     }
 
-    /// Lets the faults begin and end at their times.
+    /// Begins and ends the faults at their times.
     fn play_faults(&mut self) {
         let scenario = self.scenario;
         let mut active = vec![false; scenario.faults.len()];
         for edge in self.fault_edges() {
             self.advance_to(Duration::from_millis(edge.at_ms));
-            if self.is_over() {
+            if self.is_rule_broken() {
                 return;
             }
             active[edge.fault] = edge.begins;
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The beginnings and ends of all faults, in order.
+    /// Returns the beginnings and ends of all faults, in order of time.
     fn fault_edges(&self) -> Vec<FaultEdge> {
         let mut edges = Vec::new();
         for (index, fault) in self.scenario.faults.iter().enumerate() {
@@ -187,9 +187,9 @@
         edges
     }
 
-    /// Lets time pass, and supervises the sidecars in between. Stops as soon as a rule is broken.
+    /// Advances the virtual time to `end`, and supervises the sidecars at intervals. Stops when a rule is broken.
     fn advance_to(&mut self, end: Duration) {
-        while self.now() < end && !self.is_over() {
+        while self.now() < end && !self.is_rule_broken() {
             let next = (self.now() + SUPERVISION_INTERVAL).min(end);
             if self.run_until(next).is_err() {
                 return;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Lets time pass, and checks after each step that no rule is broken.
+    /// Advances the virtual time to `end`, and checks the rules after each step.
     fn run_until(&self, end: Duration) -> Result<(), RuleBroken> {
         self.world.run_until(end, || {
             let mut oracle = self.oracle.borrow_mut();
@@ -230,5 +230,5 @@
     }
 }
 
-/// A rule is broken; the oracle knows which.
+/// A rule is broken. The oracle has the violation.
 struct RuleBroken;
--- a/crates/simulation/src/run/setup.rs
+++ b/crates/simulation/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Builds the world of a scenario.
+//! Builds the simulated world of a scenario.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,20 +22,20 @@
 use crate::scenario::Scenario;
 use crate::server::{Server, ServerSpec};
 
-/// How long after its deadline a response still counts.
-const ANSWER_SLACK: Duration = Duration::from_micros(8000);
-/// How soon a server that is draining or gone gets no new requests.
+/// The time after its deadline within which a response still counts as in time.
+const RESPONSE_SLACK: Duration = Duration::from_micros(8000);
+/// The time after which a server that is reported as draining or gone gets no new requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// How many times its capacity of the moment a cold server may be sent.
+/// The work that a server in slow start may get, as a multiple of its current capacity.
 const SLOW_START_MULTIPLE: f64 = 4.0;
-/// Over which time the work of a cold server is summed.
+/// The time over which the work of a server in slow start is summed.
 const SLOW_START_WINDOW: Duration = Duration::from_secs(3);
-/// The latency between a sidecar and its clients, which are on the same machine.
+/// The latency between a sidecar and its clients, which run on the same machine.
 const LOOPBACK_LATENCY: std::ops::Range<Duration> =
     Duration::from_micros(5)..Duration::from_micros(25);
 
-/// The parts of a world that others are built with. The order in which hosts are added and numbers are
-/// drawn is part of what a seed means.
+/// Builds the parts of a world. The order in which hosts are added and random numbers are drawn must not change: it
+/// determines the run of a seed.
 struct Builder<'a> {
     scenario: &'a Scenario,
     world: World,
@@ -46,7 +46,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// The world of a scenario, in which nothing runs yet.
+    /// Builds the world of a scenario, in which nothing runs yet.
     pub(super) fn new(scenario: &'a Scenario, with_timeline: bool) -> Simulation<'a> {
         let mut builder = Builder::new(scenario, with_timeline);
         let discovery_host = builder.world.add_host(ip(HostKind::Discovery, 0));
@@ -101,7 +101,7 @@
         host
     }
 
-    /// The servers of all zones. Those of a zone share idempotency keys.
+    /// Creates the servers of all zones. The servers of a zone share their idempotency keys.
     fn servers(&mut self) -> Vec<Rc<Server>> {
         let mut servers = Vec::new();
         for zone in 0..ZONES.len() {
@@ -127,9 +127,9 @@
 
     fn discovery(&self, servers: &[Rc<Server>]) -> Rc<Discovery> {
         let entries = servers.iter().map(|server| endpoint_entry(server, "active"));
-        let book = EndpointList::new(entries.collect());
+        let endpoints = EndpointList::new(entries.collect());
         let agents = if self.scenario.discovery_polled { 0 } else { self.scenario.sidecars };
-        Rc::new(Discovery::new(book, servers.len(), agents, self.oracle.clone()))
+        Rc::new(Discovery::new(endpoints, servers.len(), agents, self.oracle.clone()))
     }
 
     fn sidecar_host(&self, index: usize) -> HostId {
@@ -138,7 +138,7 @@
         host
     }
 
-    /// The clients of a sidecar, and the host that they are on.
+    /// Creates the clients of a sidecar, and the host that they run on.
     fn clients(&mut self, sidecar: usize, sidecar_host: HostId) -> (HostId, Rc<Clients>) {
         let host = self.add_host(HostKind::Clients, sidecar, Role::Clients { sidecar });
         for (from, to) in [(sidecar_host, host), (host, sidecar_host)] {
@@ -160,7 +160,7 @@
         (host, Rc::new(clients))
     }
 
-    /// The operators, if the scenario has any, and the host that they are on.
+    /// Creates the operators, if the scenario has faults by them, and the host that they run on.
     fn operators(&mut self) -> Option<(HostId, Rc<Operators>)> {
         if !self.scenario.faults.iter().any(|fault| fault.kind.is_by_operators()) {
             return None;
@@ -190,7 +190,7 @@
     Limits {
         classes: classes.iter().map(profile).collect(),
         idempotency_window: DEDUPLICATION_WINDOW,
-        answer_slack: ANSWER_SLACK,
+        response_slack: RESPONSE_SLACK,
         earliest_kill: termination_time(classes),
         longest_hold_up: scenario.longest_hold_up(),
         drain_grace: DRAIN_GRACE,
@@ -208,7 +208,7 @@
     }
 }
 
-/// The entry of a server in the endpoint list.
+/// Returns the entry of a server in the endpoint list.
 pub(super) fn endpoint_entry(server: &Server, health: &'static str) -> Entry {
     let started = server.started_at().map(|at| Options::default().unix_start + at);
     let mut entry = Entry::new(server.address(), ZONES[server.zone()]);
--- a/crates/simulation/src/run/sidecars.rs
+++ b/crates/simulation/src/run/sidecars.rs
@@ -1,4 +1,4 @@
-//! The processes of the sidecars: their configuration, their starts and their ends.
+//! The processes of the sidecars: configuration, start, termination and restart.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 use super::{HeldResources, SUPERVISION_INTERVAL, Simulation};
 use crate::oracle::Rule;
 
-/// A sidecar that was asked to terminate has ended within the longest deadline and this time.
+/// The time beyond the longest deadline within which a sidecar that was asked to terminate has ended.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
-/// How long after its end a sidecar is started again.
+/// The time after its end at which a sidecar is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
-/// How many connections of clients may wait to be accepted.
+/// The number of connections of clients that may wait to be accepted.
 const CLIENT_BACKLOG: usize = 4096;
-/// How many connections of operators may wait to be accepted.
+/// The number of connections of operators that may wait to be accepted.
 const ADMIN_BACKLOG: usize = 64;
 
 /// The process of a sidecar.
@@ -31,25 +31,25 @@
     pub(super) index: usize,
     pub(super) host: HostId,
     pub(super) address: SocketAddr,
-    /// Tells it to terminate.
+    /// Notifies it to terminate.
     pub(super) stop: Rc<Notify>,
-    /// Tells it to read its configuration.
+    /// Notifies it to reload its configuration.
     pub(super) reload: mpsc::Sender<()>,
-    /// The text of the configuration that it reads next.
+    /// The text of the configuration that it reads at the next reload.
     pub(super) config: Rc<RefCell<String>>,
     /// The text of the configuration that it was started with.
     pub(super) initial_config: String,
-    /// Set by its task at the end.
+    /// Whether its main task has ended.
     pub(super) ended: Rc<Cell<bool>>,
     pub(super) running: bool,
-    /// When it was asked to terminate.
+    /// When it was asked to terminate; `None` if it was not.
     pub(super) terminating_since: Option<Duration>,
-    /// When it is started again.
+    /// When it is started again; `None` if it runs.
     pub(super) restart_at: Option<Duration>,
 }
 
 impl SidecarProcess {
-    /// A process that was not started yet.
+    /// Creates a process that has not been started yet.
     pub(super) fn new(index: usize, host: HostId, address: SocketAddr) -> SidecarProcess {
         let (reload, _) = mpsc::channel(1);
         SidecarProcess {
@@ -67,21 +67,21 @@
         }
     }
 
-    /// Notes that it has ended, and when it is started again.
+    /// Records that it has ended, and when it is started again.
     pub(super) fn mark_ended(&mut self, restart_at: Duration) {
         self.running = false;
         self.terminating_since = None;
         self.restart_at = Some(restart_at);
     }
 
-    /// Tells it to terminate.
+    /// Asks it to terminate.
     pub(super) fn terminate(&mut self, now: Duration) {
         self.terminating_since = Some(now);
         self.stop.notify_one();
     }
 }
 
-/// Where a sidecar listens.
+/// The addresses that a sidecar listens on.
 struct ListenAddresses {
     clients: SocketAddr,
     gossip: Option<SocketAddr>,
@@ -99,14 +99,14 @@
     }
 }
 
-/// Within which time a sidecar that was asked to terminate has ended.
+/// Returns the time within which a sidecar that was asked to terminate has ended.
 pub(super) fn termination_time(classes: &[Class]) -> Duration {
     let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     longest + SHUTDOWN_MARGIN
 }
 
 impl Simulation<'_> {
-    /// The text of the configuration of a sidecar.
+    /// Returns the text of the configuration of a sidecar.
     fn configuration(&mut self, index: usize) -> String {
         let scenario = self.scenario;
         let seed: u64 = self.rng.random();
@@ -133,7 +133,7 @@
         config.to_string()
     }
 
-    /// The settings of the platform for a sidecar.
+    /// Returns the platform settings of a sidecar.
     fn settings(&self, index: usize) -> Value {
         let scenario = self.scenario;
         let mut settings = settings(&self.classes);
@@ -148,7 +148,7 @@
         settings
     }
 
-    /// Starts a sidecar, for the first time or again.
+    /// Starts or restarts a sidecar.
     pub(super) fn start_sidecar(&mut self, index: usize) {
         let text = self.configuration(index);
         let now = self.now();
@@ -189,7 +189,7 @@
         });
     }
 
-    /// Starts sidecars that have ended again, and finds those that ended unasked, or did not end in time.
+    /// Restarts sidecars that have ended, and reports those that ended without being asked, or not in time.
     pub(super) fn supervise_sidecars(&mut self) {
         let now = self.now();
         let termination_limit = termination_time(&self.classes) + SUPERVISION_INTERVAL;
@@ -198,15 +198,15 @@
             let terminating_since = sidecar.terminating_since;
             if sidecar.running && sidecar.ended.get() {
                 if terminating_since.is_none() {
-                    let message = format!("sidecar {index} ended by itself");
+                    let message = format!("sidecar {index} ended without being asked to");
                     self.oracle.borrow_mut().violate(now, Rule::Crash, message);
                 }
-                // What it had not answered is lost, and shows at its clients.
+                // The clients notice the loss of the requests that it has not answered.
                 self.world.kill(sidecar.host, HostFailure::ProcessKilled);
                 self.oracle.borrow_mut().count("graceful shutdowns");
                 self.sidecars[index].mark_ended(now + RESTART_DELAY);
             } else if terminating_since.is_some_and(|since| now > since + termination_limit) {
-                let message = format!("sidecar {index} has not ended in time");
+                let message = format!("sidecar {index} has not terminated in time");
                 self.oracle.borrow_mut().violate(now, Rule::End, message);
             }
             if self.sidecars[index].restart_at.is_some_and(|at| now >= at) {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// What a sidecar holds.
+    /// Returns the resources that a sidecar holds.
     pub(super) fn held_resources(&self, sidecar: &SidecarProcess) -> HeldResources {
         HeldResources {
             tasks: self.world.task_count(sidecar.host),
--- a/crates/simulation/src/server/faults.rs
+++ b/crates/simulation/src/server/faults.rs
@@ -1,57 +1,57 @@
-//! What may go wrong with a request at a log server.
+//! The faults that a request may meet at a log server.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// The share of the answers sent a second time that are rejections.
+/// The share of rejections among the answers that are sent a second time.
 const REJECTED_SHARE: f64 = 0.3;
 
-/// The probabilities with which a request at a server meets a fault, and the parameters of the faults.
+/// The probabilities of the faults that a request may meet at a server, and the parameters of these faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerFaults {
-    /// The request is executed and never answered.
+    /// The request is executed but never answered.
     pub hang: f64,
-    /// It is answered 500.
+    /// The request is executed and answered with 500.
     pub error: f64,
-    /// The connection is reset before it is executed.
+    /// The connection is reset before the request is executed.
     pub reset_before: f64,
-    /// The connection is reset after it was executed.
+    /// The connection is reset after the request was executed.
     pub reset_after: f64,
     /// The connection is reset in the middle of the response.
     pub reset_within: f64,
     /// The response is not HTTP.
     pub malformed: f64,
-    /// The response stops half way while the connection stays open.
+    /// The response stops halfway while the connection stays open.
     pub truncated: f64,
-    /// The response is shorter than it declares.
+    /// The response is shorter than its `Content-Length`.
     pub wrong_length: f64,
-    /// The response is followed by bytes that belong to none.
+    /// The response is followed by bytes that belong to no response.
     pub surplus: f64,
     /// The connection is closed after the response.
     pub close_after: f64,
     /// The response is delayed.
     pub delayed: f64,
-    /// By how much a response is delayed.
+    /// The delay of a delayed response.
     pub delay: Duration,
     /// The connection is reset some time after the request was executed.
     pub delayed_reset: f64,
-    /// How long after the execution a delayed reset comes.
+    /// The time between the execution and a delayed reset.
     pub reset_delay: Duration,
     /// The response is too long to be buffered.
     pub long: f64,
     /// The request is rejected without being executed.
     pub reject: f64,
-    /// The request is rejected in a way that proves nothing.
+    /// The request gets a rejection that does not prove that it was not executed.
     pub broken_rejection: f64,
-    /// The answer is sent a second time.
+    /// The response is sent a second time.
     pub second_answer: f64,
-    /// How many times as long an execution takes, less one.
+    /// The factor by which an execution takes longer, minus one.
     pub slowdown: f64,
 }
 
-/// What happens with one request.
+/// The fault that one request meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseFault {
     None,
@@ -70,14 +70,14 @@
     Long,
     Reject,
     BrokenRejection,
-    /// The answer is sent a second time.
+    /// The response is sent a second time.
     SecondAnswer,
-    /// It is rejected, and the rejection is sent a second time.
+    /// The request is rejected, and the rejection is sent a second time.
     SecondRejection,
 }
 
 impl ServerFaults {
-    /// Draws what happens with a request.
+    /// Draws the fault that a request meets.
     pub(super) fn draw(&self, rng: &mut SmallRng) -> ResponseFault {
         let mut remaining: f64 = rng.random();
         let faults = [
--- a/crates/simulation/src/server/mod.rs
+++ b/crates/simulation/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! Log servers: concurrency, a bounded queue, slow start, load reports, idempotency keys, and everything
-//! that may go wrong with a request there.
+//! Simulated log servers, with limited concurrency, a bounded queue, slow start, load reports, idempotency keys and
+//! faults.
 
 mod faults;
 mod rejections;
@@ -23,24 +23,24 @@
 
 use self::faults::ResponseFault;
 use self::rejections::{AfterRejection, BrokenRejection};
-use self::second_answers::WaitingAnswer;
+use self::second_answers::PendingSecondAnswer;
 use crate::model::{CHUNK_SIZE, LONG_BODY, RequestId, now, slow_start_speed};
 use crate::oracle::Oracle;
 
 pub use self::faults::ServerFaults;
 
-/// How many requests may wait; more are rejected unprocessed.
+/// The number of requests that may wait; further ones are rejected unprocessed.
 const QUEUE_LIMIT: usize = 40;
-/// How many connections may wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const BACKLOG: usize = 128;
-/// How long a server that hangs keeps its connection open.
-const HANG: Duration = Duration::from_secs(8);
-/// How many bytes a response with the wrong length lacks.
+/// The time for which a server that does not answer keeps the connection open.
+const HANG_TIME: Duration = Duration::from_secs(8);
+/// The number of bytes that a response with the wrong length lacks.
 const MISSING_BYTES: usize = 3;
-/// What a malformed response consists of.
+/// The bytes of a malformed response.
 const MALFORMED_RESPONSE: &[u8] = b"\x01\x02noise\r\n\r\n";
 
-/// What a server is made of.
+/// The properties of a server, and what it is connected to.
 pub struct ServerSpec {
     /// Its index among all servers.
     pub index: usize,
@@ -48,38 +48,38 @@
     pub zone: usize,
     /// The host that it runs on.
     pub host: HostId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// How many requests it executes at once.
+    /// The number of requests that it executes at once.
     pub concurrency: usize,
-    /// The classes of requests that it knows.
+    /// The classes of requests that it accepts.
     pub classes: Rc<[Class]>,
-    /// The idempotency keys that the servers of its zone have seen.
+    /// The idempotency keys that the servers of its zone remember.
     pub keys: Rc<RecentKeys>,
-    /// For everything that is drawn.
+    /// The source of its random numbers.
     pub rng: RefCell<SmallRng>,
-    /// Is notified of what is executed.
+    /// The oracle, which is notified of executions.
     pub oracle: Rc<RefCell<Oracle>>,
 }
 
-/// A log server: its place, and whoever runs there now and later.
+/// A log server. Its host and address stay the same over all its incarnations.
 pub struct Server {
     spec: ServerSpec,
-    /// Counts those that have run here, from 0: part of the name.
+    /// The number of the current incarnation, from 0. It is part of the name.
     incarnation: Cell<u32>,
     /// The incarnation that was last started.
     started_incarnation: Cell<u32>,
     draining: Cell<bool>,
     down: Cell<bool>,
     faults: Cell<ServerFaults>,
-    /// When it was last started; none if it runs since before the world's start.
+    /// When it was last started; `None` if it has run since before the start of the world.
     started_at: Cell<Option<Duration>>,
     executors: RefCell<Rc<Semaphore>>,
     queued: Cell<usize>,
     executing: Cell<usize>,
 }
 
-/// Counts something while it goes on.
+/// Increments a counter until it is dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -96,7 +96,7 @@
 }
 
 impl Server {
-    /// A server that does not run yet.
+    /// Creates a server that does not run yet.
     pub fn new(spec: ServerSpec) -> Rc<Server> {
         let executors = RefCell::new(Rc::new(Semaphore::new(spec.concurrency)));
         Rc::new(Server {
@@ -113,74 +113,74 @@
         })
     }
 
-    /// Its index among all servers.
+    /// Returns its index among all servers.
     pub fn index(&self) -> usize {
         self.spec.index
     }
 
-    /// The index of its zone.
+    /// Returns the index of its zone.
     pub fn zone(&self) -> usize {
         self.spec.zone
     }
 
-    /// The host that it runs on.
+    /// Returns the host that it runs on.
     pub fn host(&self) -> HostId {
         self.spec.host
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.spec.address
     }
 
-    /// The name of its present incarnation.
+    /// Returns the name of its current incarnation.
     pub fn name(&self) -> String {
         format!("s-{}-{}", self.spec.index, self.incarnation.get())
     }
 
-    /// The index of the server with this name.
+    /// Returns the index of the server with this name.
     pub fn index_of(name: &str) -> Option<usize> {
         name.strip_prefix("s-")?.split('-').next()?.parse().ok()
     }
 
-    /// When it was last started; none if it runs since before the world's start.
+    /// Returns when it was last started; `None` if it has run since before the start of the world.
     pub fn started_at(&self) -> Option<Duration> {
         self.started_at.get()
     }
 
-    /// Whether it was killed and not started again.
+    /// Whether it was killed and has not been started again.
     pub fn is_down(&self) -> bool {
         self.down.get()
     }
 
-    /// Notes that it was killed. Returns whether it was up until now.
+    /// Records that it was killed. Returns whether it was up before.
     pub fn mark_down(&self) -> bool {
         !self.down.replace(true)
     }
 
-    /// The next incarnation has another name.
+    /// Begins a new incarnation, which has another name.
     pub fn replace_incarnation(&self) {
         self.incarnation.set(self.incarnation.get() + 1);
     }
 
-    /// Notes that it is started. Returns whether it is another incarnation than before.
+    /// Records that it is started. Returns whether this is another incarnation than the one started before.
     pub fn mark_started(&self, now: Duration) -> bool {
         self.started_at.set(Some(now));
         let incarnation = self.incarnation.get();
         self.started_incarnation.replace(incarnation) != incarnation
     }
 
-    /// Rejects new requests from now on, or no longer.
+    /// Sets whether it rejects new requests.
     pub fn set_draining(&self, draining: bool) {
         self.draining.set(draining);
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the faults that requests meet from now on.
     pub fn set_faults(&self, faults: ServerFaults) {
         self.faults.set(faults);
     }
 
-    /// Serves until its host is killed: to be spawned there. `start` is the start of the world.
+    /// Serves until its host is killed. To be spawned on that host; `start` is the start of the world.
     pub async fn run(self: Rc<Server>, start: Instant) {
         *self.executors.borrow_mut() = Rc::new(Semaphore::new(self.spec.concurrency));
         self.queued.set(0);
@@ -198,7 +198,7 @@
     async fn serve_connection(self: Rc<Server>, socket: Rc<SimTcp>, start: Instant) {
         let mut reader = Reader::new(Stream::new(socket.clone(), Rc::new(())));
         let within_response = Rc::new(Cell::new(false));
-        let second_answer = WaitingAnswer::default();
+        let second_answer = PendingSecondAnswer::default();
         loop {
             let next = timeout::<SimRuntime, _>(IDLE_TIMEOUT, reader.next()).await;
             let Ok(Ok(Some(message))) = next else { return };
@@ -209,16 +209,16 @@
             }
             let fault = self.faults.get().draw(&mut self.spec.rng.borrow_mut());
             if fault == ResponseFault::BrokenRejection {
-                match self.break_rejection(&message, &socket, &within_response, start).await {
+                match self.send_broken_rejection(&message, &socket, &within_response, start).await {
                     AfterRejection::NextRequest => continue,
                     AfterRejection::Close => return,
                     AfterRejection::Reset => return socket.reset_on_close(),
-                    AfterRejection::Hang => return SimRuntime::sleep(HANG).await,
+                    AfterRejection::Hang => return SimRuntime::sleep(HANG_TIME).await,
                 }
             }
             let Some(response) = self.respond(&message, fault, start).await else {
                 if fault == ResponseFault::Hang {
-                    return SimRuntime::sleep(HANG).await;
+                    return SimRuntime::sleep(HANG_TIME).await;
                 }
                 return socket.reset_on_close();
             };
@@ -233,35 +233,35 @@
             }
             match fault {
                 ResponseFault::SecondAnswer | ResponseFault::SecondRejection => {
-                    second_answer.plan(&response, &socket, &within_response, &self.spec.rng);
+                    second_answer.schedule(&response, &socket, &within_response, &self.spec.rng);
                 }
                 ResponseFault::ResetWithin => return socket.reset_on_close(),
                 ResponseFault::CloseAfter => return,
                 ResponseFault::Truncated | ResponseFault::WrongLength => {
-                    return SimRuntime::sleep(HANG).await;
+                    return SimRuntime::sleep(HANG_TIME).await;
                 }
                 _ => {}
             }
         }
     }
 
-    /// Rejects a request in a way that proves nothing.
-    async fn break_rejection(
+    /// Sends a rejection that does not prove that the request was not executed.
+    async fn send_broken_rejection(
         &self,
         message: &Message,
         socket: &Rc<SimTcp>,
         within_response: &Rc<Cell<bool>>,
         start: Instant,
     ) -> AfterRejection {
-        let form = BrokenRejection::draw(&mut self.spec.rng.borrow_mut());
+        let rejection = BrokenRejection::draw(&mut self.spec.rng.borrow_mut());
         let Ok((id, class)) = self.identify(message) else { return AfterRejection::Close };
-        if form.is_executed() && self.execute(message, id, class, start).await.is_none() {
+        if rejection.is_executed() && self.execute(message, id, class, start).await.is_none() {
             return AfterRejection::Close;
         }
-        form.send(socket, within_response, &self.spec.rng).await
+        rejection.send(socket, within_response, &self.spec.rng).await
     }
 
-    /// The id and the class of a request, or the response to one without.
+    /// Returns the id and the class of a request, or the response to a request without them.
     fn identify(&self, message: &Message) -> Result<(RequestId, &Class), Vec<u8>> {
         let id = message.header("x-correlation-id").and_then(|value| value.parse().ok());
         let id = id.ok_or_else(|| empty_response("404 Not Found", ""))?;
@@ -270,7 +270,7 @@
         Ok((id, class.ok_or_else(|| empty_response("400 Bad Request", ""))?))
     }
 
-    /// The response to a request; none if nothing is written.
+    /// Returns the response to a request; `None` if none is written.
     async fn respond(
         &self,
         message: &Message,
@@ -294,7 +294,8 @@
         self.response_after_execution(id, fault).await
     }
 
-    /// Executes a request, unless it was executed already under its idempotency key.
+    /// Executes a request, unless one with the same idempotency key was executed before. Returns `None` if it could
+    /// not be executed.
     async fn execute(
         &self,
         message: &Message,
@@ -341,7 +342,7 @@
             }
             ResponseFault::Long => Some(self.long_response(&body)),
             ResponseFault::Malformed => Some(MALFORMED_RESPONSE.to_vec()),
-            // Noise, or the same response once more: it would pass for the next request's.
+            // Noise, or a copy of the response, which could be taken for the response to the next request.
             ResponseFault::Surplus if id.0.is_multiple_of(3) => {
                 Some((good + "\u{1}\u{2}noise").into_bytes())
             }
@@ -354,7 +355,7 @@
         }
     }
 
-    /// A response that is too long to be buffered, with its length or in chunks.
+    /// Returns a response that is too long to be buffered, with a `Content-Length` or in chunks.
     fn long_response(&self, body: &str) -> Vec<u8> {
         let (repetitions, chunked) = {
             let mut rng = self.spec.rng.borrow_mut();
@@ -372,20 +373,20 @@
         [head.into_bytes(), body].concat()
     }
 
-    /// The value of `X-Backend-Load`.
+    /// Returns the value of `X-Backend-Load`.
     fn load_report(&self) -> String {
         let (queued, executing) = (self.queued.get(), self.executing.get());
         let utilization = executing as f64 / self.spec.concurrency as f64;
         format!("inflight={},queue={queued},util={utilization:.2}", queued + executing)
     }
 
-    /// The fraction of its full speed that it has.
+    /// Returns its current speed as a fraction of its full speed.
     fn speed(&self, now: Duration) -> f64 {
         self.started_at.get().map_or(1.0, |at| slow_start_speed(now.saturating_sub(at)))
     }
 }
 
-/// A response without a body; `headers`: further lines of the head.
+/// Returns a response without a body. `headers` are further lines of the head.
 fn empty_response(status: &str, headers: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n").into_bytes()
 }
--- a/crates/simulation/src/server/rejections.rs
+++ b/crates/simulation/src/server/rejections.rs
@@ -1,4 +1,4 @@
-//! Rejections that prove nothing: cut, silent, contradictory, or sent twice.
+//! Rejections that do not prove that the request was not executed: truncated, contradictory, or sent twice.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,27 +11,27 @@
 use simnet::{SimRuntime, SimTcp};
 use tokio::io::AsyncWriteExt;
 
-/// How long after a rejection its second copy is sent, in milliseconds.
+/// The time after a rejection at which its second copy is sent, in milliseconds.
 const SECOND_COPY_MS: std::ops::Range<u64> = 2..15;
 
-/// What is wrong with a rejection.
+/// The defect of a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BrokenRejection {
-    /// Its body is shorter than announced, and its connection is closed.
-    CutAndClosed,
-    /// The same, and its connection is reset.
-    CutAndReset,
-    /// The same, and its connection stays open.
-    CutAndSilent,
-    /// It ends within a chunk, and its connection is closed.
-    CutInChunk,
-    /// Its head also says that the request may have been processed.
+    /// Its body is shorter than its `Content-Length`, and the connection is closed.
+    TruncatedAndClosed,
+    /// Its body is shorter than its `Content-Length`, and the connection is reset.
+    TruncatedAndReset,
+    /// Its body is shorter than its `Content-Length`, and the connection stays open.
+    TruncatedAndSilent,
+    /// It ends within a chunk, and the connection is closed.
+    TruncatedInChunk,
+    /// Its head also declares that the request may have been executed.
     Contradictory,
-    /// It is whole, and sent once more some milliseconds later.
-    Twice,
+    /// It is complete, and a copy is sent some milliseconds later.
+    Duplicated,
 }
 
-/// What becomes of a connection behind a rejection.
+/// The use of a connection after a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterRejection {
     NextRequest,
@@ -42,46 +42,51 @@
 
 impl BrokenRejection {
     const ALL: [BrokenRejection; 6] = [
-        BrokenRejection::CutAndClosed,
-        BrokenRejection::CutAndReset,
-        BrokenRejection::CutAndSilent,
-        BrokenRejection::CutInChunk,
+        BrokenRejection::TruncatedAndClosed,
+        BrokenRejection::TruncatedAndReset,
+        BrokenRejection::TruncatedAndSilent,
+        BrokenRejection::TruncatedInChunk,
         BrokenRejection::Contradictory,
-        BrokenRejection::Twice,
+        BrokenRejection::Duplicated,
     ];
 
     pub(super) fn draw(rng: &mut SmallRng) -> BrokenRejection {
-        *BrokenRejection::ALL.choose(rng).unwrap_or(&BrokenRejection::CutAndClosed)
+        *BrokenRejection::ALL.choose(rng).unwrap_or(&BrokenRejection::TruncatedAndClosed)
     }
 
-    /// Whether the request is executed all the same.
+    /// Whether the request is executed despite the rejection.
     pub(super) fn is_executed(self) -> bool {
-        self != BrokenRejection::Twice
+        self != BrokenRejection::Duplicated
     }
 
     fn text(self) -> String {
         let rest = match self {
-            BrokenRejection::CutAndClosed
-            | BrokenRejection::CutAndReset
-            | BrokenRejection::CutAndSilent => "Content-Length: 20\r\n\r\nab",
-            BrokenRejection::CutInChunk => "Transfer-Encoding: chunked\r\n\r\n14\r\nab",
+            BrokenRejection::TruncatedAndClosed
+            | BrokenRejection::TruncatedAndReset
+            | BrokenRejection::TruncatedAndSilent => "Content-Length: 20\r\n\r\nab",
+            BrokenRejection::TruncatedInChunk => "Transfer-Encoding: chunked\r\n\r\n14\r\nab",
             BrokenRejection::Contradictory => "X-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
-            BrokenRejection::Twice => "Content-Length: 0\r\n\r\n",
+            BrokenRejection::Duplicated => "Content-Length: 0\r\n\r\n",
         };
         format!("HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\n{rest}")
     }
 
-    fn then(self) -> AfterRejection {
+    fn after_rejection(self) -> AfterRejection {
         match self {
-            BrokenRejection::CutAndClosed | BrokenRejection::CutInChunk => AfterRejection::Close,
-            BrokenRejection::CutAndReset => AfterRejection::Reset,
-            BrokenRejection::CutAndSilent => AfterRejection::Hang,
-            BrokenRejection::Contradictory | BrokenRejection::Twice => AfterRejection::NextRequest,
+            BrokenRejection::TruncatedAndClosed | BrokenRejection::TruncatedInChunk => {
+                AfterRejection::Close
+            }
+            BrokenRejection::TruncatedAndReset => AfterRejection::Reset,
+            BrokenRejection::TruncatedAndSilent => AfterRejection::Hang,
+            BrokenRejection::Contradictory | BrokenRejection::Duplicated => {
+                AfterRejection::NextRequest
+            }
         }
     }
 
-    /// Writes it, and tells what becomes of the connection. A second copy is not written `within_response`:
-    /// with the part before it, it would make a whole response that nobody can tell from a sound one.
+    /// Writes the rejection, and returns the further use of the connection. A second copy is not written while
+    /// `within_response` is set: together with the truncated response before it, the copy could form a complete
+    /// response that no client can tell from a valid one.
     pub(super) async fn send(
         self,
         socket: &Rc<SimTcp>,
@@ -92,7 +97,7 @@
         if Stream::new(socket.clone(), Rc::new(())).write_all(text.as_bytes()).await.is_err() {
             return AfterRejection::Close;
         }
-        if self == BrokenRejection::Twice {
+        if self == BrokenRejection::Duplicated {
             let delay = Duration::from_millis(rng.borrow_mut().random_range(SECOND_COPY_MS));
             let mut stream = Stream::new(socket.clone(), Rc::new(()));
             let within_response = within_response.clone();
@@ -103,6 +108,6 @@
                 }
             });
         }
-        self.then()
+        self.after_rejection()
     }
 }
--- a/crates/simulation/src/server/second_answers.rs
+++ b/crates/simulation/src/server/second_answers.rs
@@ -1,4 +1,4 @@
-//! The second answers of a connection that are still to be sent.
+//! Responses that are sent a second time on the same connection.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,18 +9,19 @@
 use simnet::{SimRuntime, SimTcp};
 use tokio::io::AsyncWriteExt;
 
-/// The second answer of a connection that waits for its next request.
+/// The second answer that is sent when the next request arrives on a connection.
 #[derive(Default)]
-pub(super) struct WaitingAnswer(Cell<Option<Vec<u8>>>);
+pub(super) struct PendingSecondAnswer(Cell<Option<Vec<u8>>>);
 
-impl WaitingAnswer {
-    /// The answer that is to be sent ahead of the one to a request that has arrived.
+impl PendingSecondAnswer {
+    /// Takes the second answer, which is to be sent before the response to a request that has arrived.
     pub(super) fn take(&self) -> Option<Vec<u8>> {
         self.0.take()
     }
 
-    /// Draws when and in which form `first` is sent once more. It is not sent `within_response`.
-    pub(super) fn plan(
+    /// Draws when and in which form `first` is sent a second time, and schedules that. It is not sent while
+    /// `within_response` is set, that is, while a response on the connection is truncated.
+    pub(super) fn schedule(
         &self,
         first: &[u8],
         socket: &Rc<SimTcp>,
