--- a/crates/simulation/examples/mutants/error.rs
+++ b/crates/simulation/examples/mutants/error.rs
@@ -1,9 +1,9 @@
-//! Why mutants cannot be played.
+//! Errors of the mutation tool.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why mutants cannot be played.
+/// An error that ends the run of the mutants.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file cannot be read, written or copied.
@@ -18,13 +18,13 @@
     #[error("mutants.toml: {0}")]
     Syntax(#[from] Box<toml::de::Error>),
     /// The text that a mutant replaces does not occur exactly once.
-    #[error("{mutant}: {places} places in {}", .file.display())]
+    #[error("mutant {mutant:?}: its text occurs {places} times in {}, expected once", .file.display())]
     Places {
         /// The name of the mutant.
         mutant: String,
-        /// How often the text occurs.
+        /// The number of occurrences.
         places: usize,
-        /// The file that the mutant is put into.
+        /// The file that the mutant changes.
         file: PathBuf,
     },
     /// A program cannot be started.
@@ -35,19 +35,19 @@
         /// The system's error.
         source: io::Error,
     },
-    /// Cargo has failed; this is its output.
+    /// Cargo has failed, with this output.
     #[error("{0}")]
     Cargo(String),
-    /// The last line of the tool's output has no count.
-    #[error("no count in {0:?}")]
+    /// The last line of the output of the simulation or the soak has no count.
+    #[error("the output ends without a count: {0:?}")]
     NoCount(String),
     /// A thread has panicked.
-    #[error("a thread has ended early")]
+    #[error("a thread has panicked")]
     ThreadPanicked,
 }
 
 impl Error {
-    /// Adds the file to an error of the system.
+    /// Returns a function that adds the path of a file to an error of the system.
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Error {
         let path = path.into();
         move |source| Error::File { path, source }
--- a/crates/simulation/examples/mutants/main.rs
+++ b/crates/simulation/examples/mutants/main.rs
@@ -1,9 +1,10 @@
-//! Shows that the oracle can fail: puts bugs into copies of the workspace, one at a time, and counts
-//! the seeds that find each. The first seed that does is played again in two new processes, which have
-//! to come to the same result, and is shrunk to the faults that matter.
+//! Checks that the oracle and the tests detect bugs: applies mutants to copies of the workspace, one at a time, and
+//! counts the seeds that find each. The first seed that does is run again in two new processes, which must have the
+//! same result, and is shrunk to the faults that are needed.
 //!
-//! `cargo run --release -p simulation --example mutants`: at first a quarter of the seeds (2,000) are
-//! played; all of them where these find nothing. Status 1: a bug was not found, or not twice the same.
+//! `cargo run --release -p simulation --example mutants` first runs a quarter of the seeds (by default 2,000), and
+//! all of them if these find nothing. Exit status: 0 if every mutant was found, 1 if one was not found or the results
+//! of a seed differ, 2 on an error.
 
 mod error;
 mod mutant;
@@ -20,26 +21,26 @@
 use crate::mutant::Mutant;
 use crate::workspace::{SeedsResult, WorkspaceCopy};
 
-/// The fraction of the seeds that is played first: one in so many.
+/// The divisor of the number of seeds that gives the number of those that run first.
 const FIRST_FRACTION: u64 = 4;
 
-/// Plays bugs that are put in on purpose.
+/// Checks that the seeds, the tests and the soak find each mutant.
 #[derive(Parser)]
 struct Arguments {
-    /// Seeds.
+    /// The number of seeds.
     #[arg(long, default_value_t = 2000)]
     seeds: u64,
-    /// Copies of the workspace that are built and played side by side.
+    /// The number of copies of the workspace that are built and run in parallel.
     #[arg(long, default_value_t = 1)]
     copies: usize,
-    /// Only bugs whose name has this in it.
+    /// Only mutants whose name contains this text.
     only: Option<String>,
 }
 
-/// The mutants that were not played yet.
+/// The mutants that have not been run yet.
 type Queue<'a> = Mutex<slice::Iter<'a, &'a Mutant>>;
 
-/// The root of the workspace.
+/// Returns the root of the workspace.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -48,7 +49,7 @@
     match play_all(&Arguments::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(missed) => {
-            eprintln!("{missed} not found, or not the same again");
+            eprintln!("{missed} mutants were not found, or only with differing results");
             ExitCode::from(1)
         }
         Err(error) => {
@@ -64,7 +65,7 @@
     let wanted =
         |mutant: &&Mutant| arguments.only.as_ref().is_none_or(|part| mutant.name.contains(part));
     let wanted: Vec<&Mutant> = mutants.iter().filter(wanted).collect();
-    println!("| bug | seeds that found it | of | rules broken | the first again | faults left |");
+    println!("| mutant | failing seeds | seeds | rules broken | first seed again | faults left |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let queue = Mutex::new(wanted.iter());
     let results: Vec<Result<usize, Error>> = std::thread::scope(|scope| {
@@ -78,7 +79,7 @@
     results.into_iter().sum()
 }
 
-/// Plays mutants in one copy of the workspace until none is left, and returns how many were missed.
+/// Runs mutants in one copy of the workspace until none is left. Returns the number of mutants that were not found.
 fn play_in_copy(number: usize, queue: &Queue<'_>, seeds: u64) -> Result<usize, Error> {
     let copy = WorkspaceCopy::create(number)?;
     let mut missed = 0;
@@ -99,21 +100,21 @@
     }
 }
 
-/// Whether a package's tests find a mutant.
+/// Whether the tests of a package find a mutant.
 fn found_by_tests(copy: &WorkspaceCopy, mutant: &Mutant, package: &str) -> Result<bool, Error> {
     let failed = copy.failed_tests(package, mutant.test.as_deref())?;
     println!("| {} | {} tests | | {} | | |", mutant.name, failed.len(), failed.join(", "));
     Ok(!failed.is_empty())
 }
 
-/// Whether runs of the soak find a mutant.
+/// Whether the soak finds a mutant.
 fn found_by_soak(copy: &WorkspaceCopy, mutant: &Mutant, seeds: &str) -> Result<bool, Error> {
     let findings = copy.soak(seeds)?;
     println!("| {} | {findings} | {seeds} | | | |", mutant.name);
     Ok(findings > 0)
 }
 
-/// Whether seeds find a mutant, and the first that does comes to the same result twice.
+/// Whether seeds find a mutant, and the first that does has the same result twice.
 fn found_by_seeds(copy: &WorkspaceCopy, mutant: &Mutant, seeds: u64) -> Result<bool, Error> {
     let options = mutant.seed_options();
     let mut played = seeds / FIRST_FRACTION;
--- a/crates/simulation/examples/mutants/mutant.rs
+++ b/crates/simulation/examples/mutants/mutant.rs
@@ -1,4 +1,4 @@
-//! Mutants: bugs that are put into the code on purpose.
+//! Mutants: bugs that are put into the code to check that seeds, tests or the soak find them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use crate::error::Error;
 use crate::root;
 
-/// The file with all mutants, from the root of the workspace.
+/// The file with all mutants, relative to the root of the workspace.
 const MUTANTS_FILE: &str = "crates/simulation/mutants.toml";
 
 #[derive(Deserialize)]
@@ -19,26 +19,26 @@
 /// A bug that is put into the code.
 #[derive(Deserialize)]
 pub struct Mutant {
-    /// What it does.
+    /// A description of the bug.
     pub name: String,
     #[serde(flatten)]
     edit: Edit,
     #[serde(default)]
     also: Vec<Edit>,
-    /// A package whose tests have to find it, in place of seeds.
+    /// The package whose tests have to find it; `None` if seeds of the simulation or of the soak have to.
     pub tests: Option<String>,
-    /// The one test of that package that has to find it, if not any.
+    /// The test of that package that has to find it; `None` if any may.
     pub test: Option<String>,
-    /// The seeds of the simulation that have to find it hold processes up.
+    /// Whether the seeds that have to find it hold up processes.
     #[serde(default)]
     hold_ups: bool,
-    /// Servers of the seeds that have to find it reject requests in ways that prove nothing.
+    /// Whether the seeds that have to find it have rejections that do not prove that the request was not executed.
     #[serde(default)]
     broken_rejections: bool,
-    /// Servers of the seeds that have to find it send answers a second time.
+    /// Whether the seeds that have to find it have responses that are sent a second time.
     #[serde(default)]
     second_answers: bool,
-    /// Seeds of the soak, `A..B`, one of which has to find it, in place of seeds of the simulation.
+    /// The range of seeds of the soak, `A..B`, one of which has to find it; `None` if the soak is not run.
     pub soak: Option<String>,
 }
 
@@ -50,7 +50,7 @@
     to: String,
 }
 
-/// Reads all mutants, and checks that each can be applied: a text that has moved shows before the first
+/// Reads all mutants, and checks that each can be applied, so that a missing text is reported before the first mutant
 /// is built.
 pub fn load() -> Result<Vec<Mutant>, Error> {
     let text = fs::read_to_string(root().join(MUTANTS_FILE)).map_err(Error::file(MUTANTS_FILE))?;
@@ -66,7 +66,7 @@
         std::iter::once(&self.edit).chain(&self.also)
     }
 
-    /// The options of the simulation with which its seeds are played.
+    /// Returns the options of the simulation for its seeds.
     pub fn seed_options(&self) -> &'static [&'static str] {
         match self {
             Mutant { hold_ups: true, .. } => &["--hold-ups"],
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Puts it into a copy of the workspace.
+    /// Applies it to a copy of the workspace.
     pub fn apply(&self, copy: &Path) -> Result<(), Error> {
         for edit in self.edits() {
             let path = copy.join(&edit.file);
@@ -101,11 +101,11 @@
         Ok(())
     }
 
-    /// Takes it out of a copy of the workspace.
+    /// Restores the files that it has changed in a copy of the workspace.
     pub fn revert(&self, copy: &Path) -> Result<(), Error> {
         for edit in self.edits() {
             let path = copy.join(&edit.file);
-            // The replaced text may occur elsewhere in the file: the original is the only safe source.
+            // The new text may also occur elsewhere in the file, so the file is copied from the original.
             let original =
                 fs::read_to_string(root().join(&edit.file)).map_err(Error::file(&edit.file))?;
             fs::write(&path, original).map_err(Error::file(&path))?;
--- a/crates/simulation/examples/mutants/workspace.rs
+++ b/crates/simulation/examples/mutants/workspace.rs
@@ -1,4 +1,4 @@
-//! Copies of the workspace, which are built and played.
+//! Copies of the workspace, which are built and run.
 
 use std::ffi::OsString;
 use std::fs;
@@ -8,23 +8,23 @@
 use crate::error::Error;
 use crate::root;
 
-/// What of the workspace is copied.
+/// The files and folders of the workspace that are copied.
 const COPIED: [&str; 5] = ["Cargo.toml", "Cargo.lock", "src", "crates", "README.md"];
-/// Where a copy is built.
+/// The folder of a copy that it is built in.
 const BUILD_FOLDER: &str = "target";
-/// The file that marks a folder of builds, which is not copied.
+/// The file that marks a target directory of cargo, which is not copied.
 const BUILD_FOLDER_MARK: &str = "CACHEDIR.TAG";
-/// The name of the tool.
+/// The name of the program of the simulation.
 const TOOL: &str = "lb-simulation";
-/// The name of the tool that plays the soak.
+/// The name of the program that runs the soak.
 const SOAK_TOOL: &str = "lbctl";
-/// Settings of the release profile with which a copy builds quickly. What is played is the same.
+/// Settings of the release profile that make builds of a copy faster. They don't change the results of runs.
 const QUICK_BUILD: [(&str, &str); 4] =
     [("LTO", "off"), ("CODEGEN_UNITS", "16"), ("INCREMENTAL", "true"), ("DEBUG", "0")];
 
-/// What a range of seeds came to.
+/// The results of a range of seeds.
 pub struct SeedsResult {
-    /// How many seeds broke a rule.
+    /// The number of seeds that have broken a rule.
     pub failed: u64,
     /// Some of these seeds.
     pub seeds: Vec<String>,
@@ -54,19 +54,19 @@
         Ok(copy)
     }
 
-    /// Where it is.
+    /// Returns its path.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Builds the tool.
+    /// Builds the program of the simulation.
     pub fn build_tool(&self) -> Result<(), Error> {
         let arguments = ["build", "--quiet", "--release", "-p", "simulation", "--bin", TOOL];
         let output = self.cargo(&arguments)?;
         if output.status.success() { Ok(()) } else { Err(Error::Cargo(all_output(&output))) }
     }
 
-    /// The names of a package's tests that fail.
+    /// Runs the tests of a package, and returns the names of those that fail.
     pub fn failed_tests(&self, package: &str, test: Option<&str>) -> Result<Vec<String>, Error> {
         let arguments = ["test", "--release", "--no-fail-fast", "-p", package];
         let built = self.cargo(&[&arguments[..], &["--quiet", "--no-run"]].concat())?;
@@ -82,7 +82,7 @@
         Ok(failed.collect())
     }
 
-    /// Plays the seeds from 0 to `count`, with these options.
+    /// Runs the seeds below `count` with these options.
     pub fn run_seeds(&self, count: u64, options: &[&str]) -> Result<SeedsResult, Error> {
         let seeds = format!("0..{count}");
         let arguments = [&["run", "--keep-going", "--seeds", &seeds], options].concat();
@@ -107,7 +107,7 @@
         Ok(SeedsResult { failed, seeds, rules })
     }
 
-    /// Builds all programs, plays runs of the soak, and returns how many had findings.
+    /// Builds all programs, runs the soak, and returns the number of runs with findings.
     pub fn soak(&self, seeds: &str) -> Result<u64, Error> {
         let built = self.cargo(&["build", "--quiet", "--release", "--workspace", "--bins"])?;
         if !built.status.success() {
@@ -121,12 +121,12 @@
             .ok_or_else(|| Error::NoCount(text.clone()))
     }
 
-    /// What the tool prints when it plays a seed with these options.
+    /// Runs a seed with these options, and returns the output.
     pub fn play(&self, seed: &str, options: &[&str]) -> Result<String, Error> {
         self.tool(&[&["play", seed], options].concat())
     }
 
-    /// Shrinks a seed, and returns how many faults are left.
+    /// Shrinks a seed, and returns the number of faults that are left.
     pub fn shrink(&self, seed: &str, options: &[&str]) -> Result<usize, Error> {
         let file = self.folder.join("shrunk.toml");
         let path = file.display().to_string();
@@ -148,16 +148,16 @@
         command.output().map_err(|source| Error::Start { program, source })
     }
 
-    /// Runs the simulation's tool, and returns what it prints.
+    /// Runs the program of the simulation, and returns its output.
     fn tool(&self, arguments: &[&str]) -> Result<String, Error> {
         self.program(TOOL, arguments)
     }
 
-    /// Runs a program of the copy, and returns what it prints.
+    /// Runs a program of the copy, and returns its output.
     fn program(&self, name: &str, arguments: &[&str]) -> Result<String, Error> {
         let path = self.folder.join(BUILD_FOLDER).join("release").join(name);
         let mut command = Command::new(path);
-        // A tool that knows cargo builds the programs that it starts, and with other settings.
+        // With `CARGO` set, the program would build the programs that it starts, with other settings.
         command.args(arguments).env_remove("CARGO").stderr(Stdio::null());
         let output = command.output();
         let output = output.map_err(|source| Error::Start { program: name.to_owned(), source })?;
@@ -169,7 +169,7 @@
     [&output.stdout, &output.stderr].map(|text| String::from_utf8_lossy(text)).concat()
 }
 
-/// Copies a file, or a folder without the results of builds.
+/// Copies a file, or a folder without target directories.
 fn copy_tree(from: &Path, to: &Path) -> Result<(), Error> {
     if let Some(folder) = to.parent() {
         fs::create_dir_all(folder).map_err(Error::file(folder))?;
--- a/crates/simulation/src/coverage.rs
+++ b/crates/simulation/src/coverage.rs
@@ -1,11 +1,11 @@
-//! How often each kind of fault, and each outcome, was met over many runs. What was never met shows.
+//! Counts how often each kind of fault and each outcome occurred over many runs, and shows those that never did.
 
 use std::collections::BTreeMap;
 
 use crate::run::Outcome;
 use crate::scenario::Scenario;
 
-/// Outcomes that every thousand seeds should meet.
+/// Outcomes that should occur in every thousand seeds.
 const EXPECTED: [&str; 22] = [
     "answered 200",
     "answered 408",
@@ -38,9 +38,9 @@
     pub runs: u64,
     /// The number of runs with at least one fault.
     pub runs_with_faults: u64,
-    /// The sum of virtual time, in seconds.
+    /// The sum of the virtual time of all runs, in seconds.
     pub virtual_seconds: f64,
-    /// The fewest requests of a run.
+    /// The smallest number of requests of a run; `None` without runs.
     pub fewest_requests: Option<u64>,
     faults: BTreeMap<String, u64>,
     outcomes: BTreeMap<String, u64>,
@@ -95,17 +95,17 @@
         }
     }
 
-    /// The number of requests.
+    /// Returns the number of requests of all runs.
     pub fn requests(&self) -> u64 {
         self.outcomes.get("requests").copied().unwrap_or(0)
     }
 
-    /// The expected outcomes that were never met.
+    /// Returns the expected outcomes that never occurred.
     pub fn missing(&self) -> Vec<&'static str> {
         EXPECTED.iter().copied().filter(|label| !self.outcomes.contains_key(*label)).collect()
     }
 
-    /// All counts, a line each.
+    /// Returns all counts, one per line.
     pub fn table(&self) -> String {
         let line = |(label, count): (&String, &u64)| format!("  {count:>12}  {label}\n");
         let mut text = String::from("faults\n");
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery, pushed by an agent or polled, and what may go wrong with it. The endpoint list and its
-//! versions are those of the fake registry.
+//! Simulated discovery, pushed by an agent or polled, with its faults. The endpoint list and its versions are those of
+//! the fake registry.
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -18,12 +18,12 @@
 use crate::oracle::Oracle;
 use crate::server::Server;
 
-/// How long discovery keeps a call that it does not answer.
+/// The time for which discovery keeps a call open that it does not answer.
 const SILENT_CALL: Duration = Duration::from_secs(30);
-/// The health of a server that may get new requests.
+/// The health of servers that may get new requests.
 const ACTIVE: &str = "active";
 
-/// How discovery answers.
+/// The way in which discovery answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// It answers.
@@ -33,27 +33,27 @@
     Down,
     /// It does not answer.
     Silent,
-    /// Its responses stop half way.
+    /// Its responses stop halfway.
     Truncated,
 }
 
-/// Discovery.
+/// The discovery service, or the agents in front of it.
 pub struct Discovery {
-    book: RefCell<EndpointList>,
+    endpoints: RefCell<EndpointList>,
     mode: Cell<DiscoveryMode>,
-    /// How long an answer is on its way.
+    /// The delay of each answer.
     answer_delay: Cell<Duration>,
-    /// How often the connections that were open have fallen silent.
-    silences: Cell<u64>,
+    /// The number of times that all open connections have fallen silent.
+    silence_count: Cell<u64>,
     /// Wakes calls that wait for a change.
     changed: Notify,
     server_count: usize,
-    /// How many sidecars have an agent on their own host; none if discovery is polled.
+    /// The number of sidecars that have an agent on their own host; zero if discovery is polled.
     agent_count: usize,
     oracle: Rc<RefCell<Oracle>>,
 }
 
-/// What a response tells of a server.
+/// The information about a server in a response.
 struct EndpointUpdate {
     /// The index of the server.
     server: usize,
@@ -68,18 +68,18 @@
 }
 
 impl Discovery {
-    /// Discovery with a list of `server_count` servers, and agents at the first `agent_count` sidecars.
+    /// Creates discovery with a list of `server_count` servers, and agents at the first `agent_count` sidecars.
     pub fn new(
-        book: EndpointList,
+        endpoints: EndpointList,
         server_count: usize,
         agent_count: usize,
         oracle: Rc<RefCell<Oracle>>,
     ) -> Discovery {
         Discovery {
-            book: RefCell::new(book),
+            endpoints: RefCell::new(endpoints),
             mode: Cell::default(),
             answer_delay: Cell::default(),
-            silences: Cell::default(),
+            silence_count: Cell::default(),
             changed: Notify::new(),
             server_count,
             agent_count,
@@ -87,19 +87,19 @@
         }
     }
 
-    /// The complete endpoint list, as a response has it.
+    /// Returns the complete endpoint list in the format of a response.
     pub fn snapshot(&self) -> String {
-        self.book.borrow().answer(None).unwrap_or_default()
+        self.endpoints.borrow().answer(None).unwrap_or_default()
     }
 
     /// Changes the endpoint list.
     pub fn change(&self, now: Duration, change: impl FnOnce(&mut EndpointList)) {
-        change(&mut self.book.borrow_mut());
+        change(&mut self.endpoints.borrow_mut());
         self.changed.notify_waiters();
         self.update_agents(now, 0..self.agent_count);
     }
 
-    /// Changes how it answers.
+    /// Changes the way in which discovery answers.
     pub fn set_mode(&self, now: Duration, mode: DiscoveryMode) {
         if self.mode.replace(mode) != mode {
             self.changed.notify_waiters();
@@ -110,32 +110,32 @@
         }
     }
 
-    /// Changes how long answers are on their way.
+    /// Changes the delay of answers.
     pub fn set_answer_delay(&self, delay: Duration) {
         self.answer_delay.set(delay);
     }
 
-    /// Answers nothing any more on the connections that are open.
+    /// Stops answering on the connections that are open.
     pub fn silence_connections(&self) {
-        self.silences.set(self.silences.get() + 1);
+        self.silence_count.set(self.silence_count.get() + 1);
     }
 
-    /// What the agents of these sidecars have counts as notified, whether or not they were polled. An agent that
-    /// does not answer has nothing new.
+    /// Reports the lists of the agents of these sidecars to the oracle. They count as notifications of the sidecars,
+    /// whether or not the agents were polled. Agents that do not answer get no changes.
     pub fn update_agents(&self, now: Duration, sidecars: Range<usize>) {
         if self.mode.get() != DiscoveryMode::Up {
             return;
         }
-        let book = self.book.borrow();
+        let endpoints = self.endpoints.borrow();
         for sidecar in sidecars.filter(|sidecar| *sidecar < self.agent_count) {
             for server in 0..self.server_count {
-                let active = is_active(&book, server);
+                let active = is_active(&endpoints, server);
                 self.oracle.borrow_mut().agent_updated(now, sidecar, server, active);
             }
         }
     }
 
-    /// Serves: to be spawned on its host. `start` is the start of the world.
+    /// Serves calls. To be spawned on the host of discovery; `start` is the start of the world.
     pub async fn run(self: Rc<Discovery>, listener: SimListener, start: Instant) {
         loop {
             if let Ok((socket, from)) = listener.accept().await {
@@ -152,7 +152,7 @@
         start: Instant,
     ) {
         let mut reader = Reader::new(Stream::new(socket.clone(), Rc::new(())));
-        let silences = self.silences.get();
+        let silence_count = self.silence_count.get();
         loop {
             let Ok(Some(message)) = reader.next().await else { return };
             let Response { text, updates } = self.respond(&message).await;
@@ -160,7 +160,7 @@
             if !delay.is_zero() {
                 SimRuntime::sleep(delay).await;
             }
-            if self.silences.get() > silences {
+            if self.silence_count.get() > silence_count {
                 return SimRuntime::sleep(SILENT_CALL).await;
             }
             match self.mode.get() {
@@ -173,7 +173,7 @@
                     return;
                 }
             }
-            // What is written to a process that has ended tells its successor nothing.
+            // A response to a process that has ended does not notify its successor.
             if socket.peer_closed() || reader.get_mut().write_all(text.as_bytes()).await.is_err() {
                 return;
             }
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The response to a call. A call that names a version waits for a change.
+    /// Returns the response to a call. A call with a version waits for a change.
     async fn respond(&self, message: &Message) -> Response {
         let version = message.query("from").and_then(|value| value.parse::<u64>().ok());
         if version.is_some() {
@@ -192,23 +192,23 @@
             let end = SimRuntime::now() + Duration::from_millis(hold_ms.unwrap_or(0));
             self.wait_for_change(version, end).await;
         }
-        let book = self.book.borrow();
-        let news = book.answer(version);
-        let updates = match &news {
-            Some(news) => self.updates(&book, version, news),
+        let endpoints = self.endpoints.borrow();
+        let changes = endpoints.answer(version);
+        let updates = match &changes {
+            Some(changes) => self.updates(&endpoints, version, changes),
             None => Vec::new(),
         };
-        let body = news.unwrap_or_else(|| book.empty_answer());
+        let body = changes.unwrap_or_else(|| endpoints.empty_answer());
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         Response { text, updates }
     }
 
-    /// Waits until there is something newer than `version`, or discovery does not answer, or until `end`.
+    /// Waits for a change since `version`, at most until `end`. Returns at once if discovery does not answer.
     async fn wait_for_change(&self, version: Option<u64>, end: Instant) {
         loop {
             let changed = self.changed.notified();
             let up = self.mode.get() == DiscoveryMode::Up;
-            if !up || self.book.borrow().answer(version).is_some() {
+            if !up || self.endpoints.borrow().answer(version).is_some() {
                 return;
             }
             if timeout_at::<SimRuntime, _>(end, changed).await.is_err() {
@@ -217,19 +217,19 @@
         }
     }
 
-    /// What a response tells of each server. Those that a complete list lacks are gone.
+    /// Returns the information about each server in a response. Servers that a complete list lacks are gone.
     fn updates(
         &self,
-        book: &EndpointList,
+        endpoints: &EndpointList,
         version: Option<u64>,
-        news: &str,
+        changes: &str,
     ) -> Vec<EndpointUpdate> {
         let mut updates = Vec::new();
-        if news.contains(r#""whole":true"#) {
+        if changes.contains(r#""whole":true"#) {
             let all = 0..self.server_count;
             updates.extend(all.map(|server| EndpointUpdate { server, active: false }));
         }
-        for entry in book.answered_entries(version) {
+        for entry in endpoints.answered_entries(version) {
             if let Some(server) = Server::index_of(&entry.host) {
                 updates.push(EndpointUpdate { server, active: entry.health == ACTIVE });
             }
@@ -238,14 +238,14 @@
     }
 }
 
-/// Whether a server may get new requests, by the last entry of its place.
-fn is_active(book: &EndpointList, server: usize) -> bool {
-    let entries = book.entries().iter();
+/// Whether a server may get new requests, according to its last entry.
+fn is_active(endpoints: &EndpointList, server: usize) -> bool {
+    let entries = endpoints.entries().iter();
     let mut of_server = entries.filter(|entry| Server::index_of(&entry.host) == Some(server));
     of_server.next_back().is_some_and(|entry| entry.health == ACTIVE)
 }
 
-/// The index of the sidecar with this address: 127.0.1.1 and on.
+/// Returns the index of the sidecar with this address. The addresses begin at 127.0.1.1.
 fn sidecar_with_ip(ip: IpAddr) -> usize {
     match ip {
         IpAddr::V4(ip) => usize::from(ip.octets()[3]).wrapping_sub(1),
--- a/crates/simulation/src/http_framing.rs
+++ b/crates/simulation/src/http_framing.rs
@@ -1,25 +1,25 @@
-//! The framing of HTTP/1.1 messages: where they begin and end, and their heads.
+//! Finds the boundaries and the heads of HTTP/1.1 messages in a byte stream.
 //!
-//! Written from RFC 9112 and independent of the parser that the sidecar uses.
+//! Follows RFC 9112, and shares no code with the parser that the sidecar uses.
 
-/// A part of a message that has passed.
+/// A part of a message that was found.
 #[derive(Debug, PartialEq, Eq)]
 pub enum MessagePart<'a> {
-    /// Its first byte.
+    /// The first byte.
     FirstByte,
-    /// Its head is complete; this is its text.
+    /// The complete head, as text.
     Head(&'a str),
-    /// Its last byte.
+    /// The last byte.
     LastByte,
 }
 
-/// Finds the messages in one direction of a connection.
+/// Finds the messages in the byte stream of one direction of a connection.
 #[derive(Debug, Default)]
 pub struct MessageFramer {
-    /// What has passed of an incomplete head.
+    /// The bytes of an incomplete head.
     head: Vec<u8>,
     body: BodyState,
-    /// How many bytes of the body, or of the chunk, are to come.
+    /// The number of bytes of the body or chunk that are still to come.
     remaining: u64,
 }
 
@@ -29,23 +29,23 @@
     /// Not in a body.
     #[default]
     None,
-    /// In a body of known length.
+    /// In a body with a `Content-Length`.
     Sized,
     /// In the line with the size of a chunk.
     ChunkSize { size: u64 },
     /// In the data of a chunk.
     ChunkData,
-    /// In the line break behind the data of a chunk.
+    /// In the line break after the data of a chunk.
     ChunkEnd,
-    /// In the empty line behind the last chunk, of which `remaining` bytes are to come.
+    /// In the empty line after the last chunk, of which `remaining` bytes are still to come.
     LastLine { remaining: u8 },
 }
 
-/// The longest head, in bytes. What is longer is no message.
+/// The longest head, in bytes. Longer input is not a message and is dropped.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
 impl MessageFramer {
-    /// Takes in bytes and reports each part that has passed with them.
+    /// Processes bytes and reports each part of a message that they complete.
     pub fn feed(&mut self, mut bytes: &[u8], mut report: impl FnMut(MessagePart<'_>)) {
         while !bytes.is_empty() {
             if self.body != BodyState::None {
@@ -58,7 +58,7 @@
             if self.head.is_empty() {
                 report(MessagePart::FirstByte);
             }
-            // The end of the head may lie across two pieces.
+            // The end of the head may span two calls.
             let from = self.head.len().saturating_sub(3);
             let before = self.head.len();
             self.head.extend_from_slice(bytes);
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Whether a message has begun to pass and is incomplete.
+    /// Whether a message has begun and is incomplete.
     pub fn is_inside_message(&self) -> bool {
         self.body != BodyState::None || !self.head.is_empty()
     }
 
-    /// Skips bytes of a body, and returns those behind them.
+    /// Skips bytes of a body, and returns the bytes after them.
     fn skip_body<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         if matches!(self.body, BodyState::Sized | BodyState::ChunkData) {
             let n = self.remaining.min(bytes.len() as u64);
--- a/crates/simulation/src/http_framing/tests.rs
+++ b/crates/simulation/src/http_framing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the framing.
+//! Tests of the framing of messages.
 
 use super::*;
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,7 @@
-//! Deterministic simulation: real sidecars (all of their network code and decisions) among simulated
-//! clients, log servers and discovery, on a virtual clock and network, under faults from a seed. An oracle
-//! that sees only what passes on the network checks the rules after every step.
+//! Deterministic simulation of the load balancer. Real sidecars, with all of their network code and decisions, run
+//! among simulated clients, log servers and discovery, on a virtual clock and network, under faults drawn from a
+//! seed. An oracle that sees only the network traffic and the reports of clients and servers checks the rules after
+//! every step.
 //!
 //! `docs/design/simulation.md` explains the design, `docs/operate/simulation.md` the tool.
 
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The tool of the simulation: runs many seeds, plays one, shrinks a failing one, shows what was met.
+//! The command line of the simulation: runs many seeds, plays or shrinks a single one, and reports coverage.
 #![forbid(unsafe_code)]
 
 use std::ops::Range;
@@ -13,18 +13,18 @@
 use simulation::scenario::{Scenario, ScenarioError};
 use simulation::seeds::{DrawFunction, FailedSeed, OnFailure, SeedsReport, run_seeds};
 
-/// The status if a rule was broken.
-const STATUS_BROKEN: u8 = 1;
-/// The status if the arguments or a file cannot be used.
+/// The exit status if a rule was broken.
+const STATUS_RULE_BROKEN: u8 = 1;
+/// The exit status if the arguments or a file are invalid.
 const STATUS_INVALID: u8 = 2;
-/// How many failures are printed: when the first one stops the run, and when all are counted.
+/// The largest number of failures that are printed: when the first one stops the run, and when all seeds run.
 const PRINTED_FAILURES: [usize; 2] = [3, 20];
-/// How often progress is logged where no progress bar can be seen, in seeds.
+/// The number of seeds after which progress is logged if no progress bar is visible.
 const PROGRESS_INTERVAL: u64 = 5_000;
 
-/// Plays sidecars on a virtual clock and network, under faults from a seed, and checks the rules.
+/// Runs sidecars on a virtual clock and network under faults drawn from a seed, and checks the rules.
 ///
-/// Status 0: no rule was broken. 1: one was. 2: not understood.
+/// Exit status: 0 if no rule was broken, 1 if one was, 2 if the arguments or a file are invalid.
 #[derive(Parser)]
 #[command(name = "lb-simulation", version)]
 struct Arguments {
@@ -34,40 +34,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play many seeds.
+    /// Run many seeds.
     Run {
         #[command(flatten)]
         seeds: SeedArguments,
-        /// Go on after a failure, and count them.
+        /// Run all seeds and count the failures, instead of stopping at the first.
         #[arg(long)]
         keep_going: bool,
     },
-    /// Play one seed, or a scenario from a file.
+    /// Run one seed, or a scenario from a file.
     Play {
-        /// A seed, or a file.
+        /// A seed, or the path of a scenario file.
         what: String,
         #[command(flatten)]
-        more: MoreFaults,
-        /// Print everything that happens.
+        more: AdditionalFaults,
+        /// Print the timeline.
         #[arg(long)]
         trace: bool,
     },
-    /// Cut a failing seed or file to the faults that matter.
+    /// Reduce a failing seed or scenario to the faults that are needed to break the same rule.
     Shrink {
-        /// A seed, or a file.
+        /// A seed, or the path of a scenario file.
         what: String,
         #[command(flatten)]
-        more: MoreFaults,
-        /// Where the scenario goes; standard output without it.
+        more: AdditionalFaults,
+        /// The file to write the scenario to [default: standard output].
         #[arg(long)]
         to: Option<PathBuf>,
     },
-    /// Tell how often each fault and each ending was met.
+    /// Run seeds and print how often each fault and each outcome occurred.
     Coverage {
         #[command(flatten)]
         seeds: SeedArguments,
     },
-    /// Write the scenario of a seed as a file.
+    /// Print the scenario of a seed in the format of scenario files.
     Show {
         /// The seed.
         seed: u64,
@@ -76,41 +76,43 @@
 
 #[derive(Args)]
 struct SeedArguments {
-    /// From, and up to but without: 0..1000.
+    /// The range of seeds, without its end, for example 0..1000.
     #[arg(long)]
     seeds: SeedRange,
     #[command(flatten)]
-    more: MoreFaults,
-    /// Threads; as many as there are processors.
+    more: AdditionalFaults,
+    /// The number of threads [default: the number of processors].
     #[arg(long)]
     jobs: Option<usize>,
 }
 
-/// What the scenarios of seeds have beside their usual faults.
+/// The faults that the scenarios of seeds have in addition to their usual ones.
 #[derive(Args, Clone, Copy)]
-struct MoreFaults {
-    /// Discovery is slow or falls silent as well, while servers drain; for seeds.
+struct AdditionalFaults {
+    /// Add faults in which discovery is slow or falls silent while servers drain (for seeds only).
     #[arg(long, conflicts_with = "hold_ups")]
     discovery_faults: bool,
-    /// Sidecars are held up again and again as well; for seeds.
+    /// Add repeated hold-ups of sidecars (for seeds only).
     #[arg(long)]
     hold_ups: bool,
-    /// Servers reject requests in ways that prove nothing as well; for seeds.
+    /// Add rejections that do not prove that the request was not executed (for seeds only).
     #[arg(long, conflicts_with_all = ["hold_ups", "discovery_faults"])]
     broken_rejections: bool,
-    /// Servers send answers a second time as well; for seeds.
+    /// Add responses that servers send a second time (for seeds only).
     #[arg(long, conflicts_with_all = ["hold_ups", "discovery_faults", "broken_rejections"])]
     second_answers: bool,
 }
 
-impl MoreFaults {
-    /// How the scenario of a seed is drawn.
+impl AdditionalFaults {
+    /// Returns the function that draws the scenario of a seed.
     fn draw(self) -> DrawFunction {
         match self {
-            MoreFaults { discovery_faults: true, .. } => Scenario::draw_with_discovery_faults,
-            MoreFaults { hold_ups: true, .. } => Scenario::draw_with_hold_ups,
-            MoreFaults { broken_rejections: true, .. } => Scenario::draw_with_broken_rejections,
-            MoreFaults { second_answers: true, .. } => Scenario::draw_with_second_answers,
+            AdditionalFaults { discovery_faults: true, .. } => Scenario::draw_with_discovery_faults,
+            AdditionalFaults { hold_ups: true, .. } => Scenario::draw_with_hold_ups,
+            AdditionalFaults { broken_rejections: true, .. } => {
+                Scenario::draw_with_broken_rejections
+            }
+            AdditionalFaults { second_answers: true, .. } => Scenario::draw_with_second_answers,
             _ => Scenario::draw,
         }
     }
@@ -121,7 +123,7 @@
 struct SeedRange(Range<u64>);
 
 #[derive(Debug, thiserror::Error)]
-#[error("two numbers as in 0..1000 expected")]
+#[error("expected a range of seeds such as 0..1000")]
 struct InvalidSeedRange;
 
 impl FromStr for SeedRange {
@@ -145,7 +147,7 @@
 fn main() -> ExitCode {
     match execute(Arguments::parse().command) {
         Ok(Verdict::Passed) => ExitCode::SUCCESS,
-        Ok(Verdict::Broken) => ExitCode::from(STATUS_BROKEN),
+        Ok(Verdict::Broken) => ExitCode::from(STATUS_RULE_BROKEN),
         Err(error) => {
             eprintln!("lb-simulation: {error}");
             ExitCode::from(STATUS_INVALID)
@@ -169,7 +171,7 @@
     }
 }
 
-/// The scenario of a seed, or of a file.
+/// Returns the scenario of a seed, or reads it from a file.
 fn load(what: &str, draw: DrawFunction) -> Result<Scenario, ScenarioError> {
     match what.parse() {
         Ok(seed) => Ok(draw(seed)),
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -1,5 +1,5 @@
-//! What the simulated world and the oracle share: the clock, request ids, how a server warms up, and
-//! which bodies are long.
+//! Definitions that the simulated world and the oracle share: the clock, request ids, the slow start of servers, and
+//! the size of long bodies.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -9,14 +9,13 @@
 use runtime::Runtime;
 use simnet::SimRuntime;
 
-/// The least length of a long body, in bytes. One that is longer than this is streamed in both
-/// directions.
+/// The smallest size of a long body, in bytes. Sidecars stream bodies of this size in both directions.
 pub const LONG_BODY: usize = 66 << 10;
-/// The size of a chunk of a long body, and of what a slow client writes of one at a time, in bytes.
+/// The size of the chunks of a long body, and of the pieces in which a slow client writes one, in bytes.
 pub const CHUNK_SIZE: usize = 16 << 10;
-/// The fraction of its full speed that a server starts with.
+/// The speed of a server at its start, as a fraction of its full speed.
 const COLD_SPEED: f64 = 0.16;
-/// How long after its start a server has its full speed.
+/// The time after its start at which a server has its full speed.
 const SLOW_START: Duration = Duration::from_secs(23);
 
 /// The correlation id of a request.
@@ -37,12 +36,12 @@
     }
 }
 
-/// The virtual time since the start of the world.
+/// Returns the virtual time since the start of the world.
 pub fn now(start: Instant) -> Duration {
     SimRuntime::elapsed_since(start)
 }
 
-/// The fraction of its full speed that a server has at this time after its start.
+/// Returns the speed of a server at this time after its start, as a fraction of its full speed.
 pub fn slow_start_speed(age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     COLD_SPEED + (1.0 - COLD_SPEED) * progress
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators of the sidecars: orders that are given and revoked, and malformed calls.
+//! Simulated operators, who send orders to the admin listeners of sidecars, revoke them, and make malformed calls.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use crate::model::now;
 use crate::oracle::{Oracle, Rule};
 
-/// A caller is answered, or its connection closed, within this time, even if the sidecar has no
-/// descriptors for a while.
+/// The time within which a caller is answered, or its connection closed. It covers a time without descriptors at the
+/// sidecar.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
-/// How many malformed calls are made at once: more than a sidecar accepts.
+/// The number of malformed calls that are made at once, which is more than a sidecar accepts.
 const MALFORMED_CALLS: usize = 12;
-/// The response to an order that was carried out.
+/// The response to an order that was executed.
 const DONE: &str = "done\n";
-/// An order that is answered with several lines, the last of which is `end`.
+/// An order whose response has several lines, the last of which is `end`.
 const SHOW_STAT: &[u8] = b"show-stat\n";
 
 /// The admin listener of a sidecar.
@@ -29,7 +29,7 @@
 pub struct AdminTarget {
     /// The index of the sidecar.
     pub sidecar: usize,
-    /// Where it listens for operators.
+    /// The address of its admin listener.
     pub address: SocketAddr,
 }
 
@@ -40,7 +40,7 @@
     rng: RefCell<SmallRng>,
 }
 
-/// Sends a line and reads until the end of the connection; none if that fails.
+/// Sends a line and reads the response until the connection is closed; `None` if that fails.
 async fn call(address: SocketAddr, line: &[u8]) -> Option<String> {
     let socket = SimRuntime::connect(address).await.ok()?;
     let mut stream: Stream<SimTcp, ()> = Stream::new(Rc::new(socket), Rc::new(()));
@@ -51,7 +51,7 @@
 }
 
 impl Operators {
-    /// Operators that have given no orders; `start` is the start of the world.
+    /// Creates operators that have given no orders. `start` is the start of the world.
     pub fn new(start: Instant, oracle: Rc<RefCell<Oracle>>, rng: SmallRng) -> Operators {
         Operators { start, oracle, rng: RefCell::new(rng) }
     }
@@ -76,11 +76,11 @@
         report(false);
         let enable = format!("enable-server {name}\n");
         let _ = call(target.address, enable.as_bytes()).await;
-        // Another order may have been carried out in between.
+        // Another order to disable the server may have been executed in between.
         report(false);
     }
 
-    /// Drains a sidecar's clients, and resumes after `duration`.
+    /// Drains a sidecar's clients, and ends the drain after `duration`.
     pub async fn drain_clients(self: Rc<Operators>, target: AdminTarget, duration: Duration) {
         let report = |drained| {
             let mut oracle = self.oracle.borrow_mut();
@@ -95,7 +95,7 @@
         report(false);
     }
 
-    /// Makes many calls at once that send nothing, half a line, nonsense, or too much.
+    /// Makes many calls at once that send nothing, an incomplete line, invalid bytes, or a line that is too long.
     pub async fn make_malformed_calls(self: Rc<Operators>, target: AdminTarget) {
         for _ in 0..MALFORMED_CALLS {
             SimRuntime::spawn(self.clone().make_malformed_call(target.address));
@@ -119,7 +119,7 @@
             Ok(Some(_)) => oracle.count("admin calls answered"),
             Ok(None) => oracle.count("admin calls reset"),
             Err(_) => {
-                let message = format!("a caller is held for {CALL_TIMEOUT:?}");
+                let message = format!("a caller has waited for {CALL_TIMEOUT:?}");
                 oracle.violate(now, Rule::Caller, message);
             }
         }
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -1,4 +1,4 @@
-//! Scenarios drawn from a seed.
+//! Draws scenarios from a seed.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -9,15 +9,15 @@
 /// The number of kinds of faults that are drawn.
 pub const FAULT_KINDS: usize = 47;
 
-/// Separates the numbers that draw the scenario from those that are drawn while it runs.
+/// Separates the random numbers for the scenario from those for its run.
 const SEED_MASK: u64 = 0x5ce0_a210;
-/// The probability that a seed knows a kind of fault.
+/// The probability that the scenario of a seed may have a kind of fault.
 const KIND_PROBABILITY: f64 = 0.4;
-/// The longest fault.
+/// The longest duration of a fault, in milliseconds.
 const LONGEST_FAULT_MS: u64 = 6000;
-/// The shortest fault.
+/// The shortest duration of a fault, in milliseconds.
 const SHORTEST_FAULT_MS: u64 = 100;
-/// The last fault begins no later than this before the end of the faults.
+/// The shortest time between the begin of a fault and the end of all faults, in milliseconds.
 const LAST_BEGIN_MARGIN_MS: u64 = 500;
 /// The indices of servers that faults are drawn for.
 const SERVER_INDICES: std::ops::Range<usize> = 0..9;
@@ -25,13 +25,13 @@
 const SIDECAR_INDICES: std::ops::Range<usize> = 0..3;
 
 impl Scenario {
-    /// The scenario of a seed. Some are quiet, some have a single fault, some many; of all kinds of
-    /// faults each seed knows only some (swarm testing: Groce et al., ISSTA 2012).
+    /// Draws the scenario of a seed. Some have no faults, some have one, some have many. Each seed has only a subset
+    /// of the kinds of faults (swarm testing: Groce et al., ISSTA 2012).
     pub fn draw(seed: u64) -> Scenario {
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_MASK);
         let faults = draw_faults(&mut rng);
         let sidecars = *[1, 1, 1, 2, 3].choose(&mut rng).unwrap_or(&1);
-        // Small servers only where there is little load: cold ones would not bear more.
+        // Servers have a low concurrency only under little load: in slow start they could not handle more.
         let concurrencies = 4 - sidecars.min(3);
         Scenario {
             seed,
@@ -46,7 +46,7 @@
             timer_lag_us: *[0, 200, 1000, 3000].choose(&mut rng).unwrap_or(&0),
             cancellation: rng.random_bool(0.8),
             gossip: rng.random_bool(0.5),
-            // Other customers' connections may be established long after their request was chosen a server.
+            // Deployments with longer timeouts may establish a connection long after a server was selected for the request.
             connect_timeout_ms: *[75, 75, 75, 400, 1500].choose(&mut rng).unwrap_or(&75),
             resting_clients: 0,
             faults,
@@ -55,30 +55,30 @@
 }
 
 fn draw_faults(rng: &mut SmallRng) -> Vec<Fault> {
-    let known: Vec<usize> =
+    let enabled_kinds: Vec<usize> =
         (0..FAULT_KINDS).filter(|_| rng.random_bool(KIND_PROBABILITY)).collect();
-    let known = if known.is_empty() { vec![0] } else { known };
+    let enabled_kinds = if enabled_kinds.is_empty() { vec![0] } else { enabled_kinds };
     let count = match rng.random_range(0..20) {
         0 => 0,
         1..=6 => 1,
         7..=14 => rng.random_range(2..8),
         _ => rng.random_range(8..25),
     };
-    let mut faults: Vec<Fault> = (0..count).map(|_| draw_fault(rng, &known)).collect();
+    let mut faults: Vec<Fault> = (0..count).map(|_| draw_fault(rng, &enabled_kinds)).collect();
     add_drains_during_discovery_outages(rng, &mut faults);
     faults.sort_by_key(|fault| fault.at_ms);
     faults
 }
 
-fn draw_fault(rng: &mut SmallRng, known: &[usize]) -> Fault {
-    let number = *known.choose(rng).unwrap_or(&0);
+fn draw_fault(rng: &mut SmallRng, enabled_kinds: &[usize]) -> Fault {
+    let number = *enabled_kinds.choose(rng).unwrap_or(&0);
     let kind = draw_kind(rng, number);
     let at_ms = rng.random_range(FAULTS_BEGIN_MS..FAULTS_END_MS - LAST_BEGIN_MARGIN_MS);
     let longest = (FAULTS_END_MS - at_ms).min(LONGEST_FAULT_MS);
     Fault { at_ms, for_ms: rng.random_range(SHORTEST_FAULT_MS..=longest), kind }
 }
 
-/// What changes while discovery does not answer counts as soon as it does again.
+/// Adds drains of servers while discovery does not answer. They take effect when it answers again.
 fn add_drains_during_discovery_outages(rng: &mut SmallRng, faults: &mut Vec<Fault>) {
     for index in 0..faults.len() {
         let Fault { at_ms, for_ms, ref kind } = faults[index];
@@ -92,8 +92,8 @@
     }
 }
 
-/// A kind of fault by its number, with parameters that are drawn. The order is part of what a seed
-/// means.
+/// Draws the parameters of the kind of fault with this number. The numbers and the order of the draws must not change:
+/// they determine the scenario of a seed.
 fn draw_kind(rng: &mut SmallRng, number: usize) -> FaultKind {
     let server = rng.random_range(SERVER_INDICES);
     let sidecar = rng.random_range(SIDECAR_INDICES);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Faults in how a server answers.
+/// Draws a fault in the responses of a server.
 fn draw_server_kind(rng: &mut SmallRng, number: usize, server: usize, share: f64) -> FaultKind {
     match number {
         0 => FaultKind::SlowServer { server, factor: rng.random_range(2.0..60.0) },
@@ -150,7 +150,7 @@
     }
 }
 
-/// Faults in which a server comes and goes.
+/// Draws a fault in the lifecycle of a server.
 fn draw_lifecycle_kind(rng: &mut SmallRng, number: usize, server: usize) -> FaultKind {
     match number {
         13 => FaultKind::RestartServer { server, vanish: rng.random() },
@@ -160,7 +160,7 @@
     }
 }
 
-/// Faults of the network between the sidecars and a server.
+/// Draws a fault of the network between the sidecars and a server.
 fn draw_network_kind(rng: &mut SmallRng, number: usize, server: usize, share: f64) -> FaultKind {
     match number {
         17 => FaultKind::AddedLatency { server, added_us: rng.random_range(200..200_000) },
--- a/crates/simulation/src/scenario/error.rs
+++ b/crates/simulation/src/scenario/error.rs
@@ -1,9 +1,9 @@
-//! Why a scenario cannot be read or written.
+//! Errors of scenario files.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a scenario file cannot be used.
+/// An error of a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file cannot be read or written.
@@ -14,20 +14,20 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The file is not a scenario.
+    /// The file cannot be parsed as a scenario.
     #[error("{}: {source}", .path.display())]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// The place and what was expected there.
+        /// The position and the cause.
         source: Box<toml::de::Error>,
     },
-    /// The scenario has a value that cannot be played.
+    /// The scenario has a value out of its range.
     #[error("{}: {source}", .path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// The key and what was expected.
+        /// The key and its range.
         source: InvalidValue,
     },
 }
@@ -38,6 +38,6 @@
 pub struct InvalidValue {
     /// The key in the file.
     pub key: String,
-    /// The range.
+    /// The valid range.
     pub expected: &'static str,
 }
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -1,26 +1,26 @@
-//! The faults that a scenario can have.
+//! The faults of scenarios.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault: what goes wrong, when and for how long.
+/// A fault, with its begin and duration.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Fault {
     /// When it begins, in milliseconds since the start.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds, where that has a meaning.
+    /// Its duration, in milliseconds. Some kinds of faults happen at once and have none.
     pub for_ms: u64,
-    /// What goes wrong.
+    /// The kind of fault and its parameters.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What goes wrong.
+/// The kind of a fault, with its parameters.
 ///
-/// An index of a server or sidecar is taken modulo how many there are. Probabilities are from 0 to 1.
+/// An index of a server or sidecar is taken modulo the number of servers or sidecars. Probabilities are from 0 to 1.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(tag = "kind")]
 pub enum FaultKind {
-    /// A server takes this many times as long.
+    /// Executions at a server take longer by a factor.
     #[serde(rename = "slow")]
     SlowServer {
         /// The index of the server.
@@ -29,7 +29,7 @@
         #[serde(rename = "times")]
         factor: f64,
     },
-    /// Some requests are executed and never answered.
+    /// Some requests are executed but never answered.
     #[serde(rename = "hang")]
     Hang {
         /// The index of the server.
@@ -37,7 +37,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some requests are answered 500 after they were executed.
+    /// Some requests are answered with 500 after they were executed.
     #[serde(rename = "error")]
     ServerError {
         /// The index of the server.
@@ -45,7 +45,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some connections are reset when a request is complete, before it is executed.
+    /// Some connections are reset after a request was received and before it is executed.
     #[serde(rename = "reset-before")]
     ResetBeforeExecution {
         /// The index of the server.
@@ -77,7 +77,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some responses stop half way while the connection stays open.
+    /// Some responses stop halfway while the connection stays open.
     #[serde(rename = "half")]
     TruncatedResponse {
         /// The index of the server.
@@ -85,7 +85,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some responses are shorter than they declare.
+    /// Some responses are shorter than their `Content-Length`.
     #[serde(rename = "wrong-length")]
     WrongContentLength {
         /// The index of the server.
@@ -93,7 +93,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some responses are followed by bytes that belong to none.
+    /// Some responses are followed by bytes that belong to no response.
     #[serde(rename = "surplus")]
     SurplusBytes {
         /// The index of the server.
@@ -101,7 +101,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some connections are closed after a response that did not announce it.
+    /// Some connections are closed after a response without `Connection: close`.
     #[serde(rename = "close-after")]
     CloseAfterResponse {
         /// The index of the server.
@@ -128,7 +128,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some requests are rejected in ways that prove nothing, most of them after they were executed.
+    /// Some requests get rejections that do not prove that they were not executed. Most of them were.
     #[serde(rename = "broken-rejections")]
     BrokenRejections {
         /// The index of the server.
@@ -136,7 +136,7 @@
         /// The probability.
         share: f64,
     },
-    /// Some answers are sent a second time: as the next request comes, or up to 0.4 s later.
+    /// Some responses are sent a second time: when the next request arrives, or up to 0.4 s later.
     #[serde(rename = "second-answers")]
     SecondAnswers {
         /// The index of the server.
@@ -144,21 +144,21 @@
         /// The probability.
         share: f64,
     },
-    /// A server is killed, or vanishes, and is back at the end under the same name, cold.
+    /// A server is killed or becomes unreachable. At the end it starts again under the same name, in slow start.
     #[serde(rename = "restart")]
     RestartServer {
         /// The index of the server.
         server: usize,
-        /// Whether the host vanishes, rather than its processes being killed.
+        /// Whether the host becomes unreachable, instead of its process being killed.
         vanish: bool,
     },
-    /// A server is killed and replaced by one of another name at its address, cold.
+    /// A server is killed. At the end a server with another name starts at its address, in slow start.
     #[serde(rename = "replace")]
     ReplaceServer {
         /// The index of the server.
         server: usize,
     },
-    /// A server drains: it is listed as leaving and rejects new requests. At the end it is back.
+    /// A server drains: it is listed as leaving and rejects new requests. At the end it is active again.
     #[serde(rename = "drain")]
     DrainServer {
         /// The index of the server.
@@ -170,7 +170,7 @@
         /// The index of the server.
         server: usize,
     },
-    /// The network path to a server and back takes this much longer.
+    /// The latency to and from a server is longer.
     #[serde(rename = "latency")]
     AddedLatency {
         /// The index of the server.
@@ -179,7 +179,7 @@
         #[serde(rename = "more_us")]
         added_us: u64,
     },
-    /// Some segments to and from a server need a retransmission.
+    /// Some segments to and from a server are lost and retransmitted.
     #[serde(rename = "loss")]
     SegmentLoss {
         /// The index of the server.
@@ -195,15 +195,15 @@
         /// The probability.
         share: f64,
     },
-    /// Nothing passes to a server, or from it, or both.
+    /// Packets to a server, from it, or both are dropped.
     #[serde(rename = "cut")]
     Partition {
         /// The index of the server.
         server: usize,
-        /// Whether nothing passes to the server.
+        /// Whether packets to the server are dropped.
         #[serde(rename = "there")]
         to_server: bool,
-        /// Whether nothing passes from the server.
+        /// Whether packets from the server are dropped.
         #[serde(rename = "back")]
         from_server: bool,
     },
@@ -223,7 +223,7 @@
         /// The probability.
         share: f64,
     },
-    /// Resets overtake what is in flight from a server.
+    /// Resets overtake bytes that are in flight from a server.
     #[serde(rename = "overtake")]
     ResetOvertakes {
         /// The index of the server.
@@ -236,16 +236,16 @@
     ResetConnections {
         /// The index of the server.
         server: usize,
-        /// Which connections are reset: one in so many.
+        /// One in `nth` connections is reset.
         nth: usize,
     },
-    /// All connections to a server fall silent for good.
+    /// All open connections to a server drop every packet from now on.
     #[serde(rename = "silence")]
     BlackholeConnections {
         /// The index of the server.
         server: usize,
     },
-    /// Only this many bytes may be written to a server before it has read them.
+    /// The receive window of connections to a server is small.
     #[serde(rename = "window")]
     SmallWindow {
         /// The index of the server.
@@ -256,23 +256,23 @@
     /// Discovery resets every call.
     #[serde(rename = "discovery-down")]
     DiscoveryDown,
-    /// Discovery accepts calls and does not answer.
+    /// Discovery accepts calls but does not answer.
     #[serde(rename = "discovery-still")]
     DiscoverySilent,
-    /// Discovery's responses stop half way.
+    /// Discovery's responses stop halfway.
     #[serde(rename = "discovery-half")]
     DiscoveryTruncated,
-    /// Discovery restarts: its versions start again.
+    /// Discovery restarts and loses its history: an agent counts its versions from the start again.
     #[serde(rename = "discovery-jump")]
     DiscoveryRestart,
-    /// Each answer of discovery is on its way for so long.
+    /// Each answer of discovery is delayed.
     #[serde(rename = "discovery-late")]
     DiscoveryDelay {
         /// The delay, in milliseconds.
         #[serde(rename = "late_ms")]
         delay_ms: u64,
     },
-    /// The connections to discovery that are open fall silent for good; new ones are answered.
+    /// Discovery no longer answers on the connections that are open; it answers on new ones.
     #[serde(rename = "discovery-stale")]
     DiscoveryConnectionsSilent,
     /// Some clients leave before their response.
@@ -287,37 +287,37 @@
         /// The probability.
         share: f64,
     },
-    /// Some clients use the id of a request that is open.
+    /// Some clients send a request with the id of an open one.
     #[serde(rename = "reuse-id")]
     DuplicateIds {
         /// The probability.
         share: f64,
     },
-    /// Some clients send what is not a request, or half of one.
+    /// Some clients send malformed or incomplete requests.
     #[serde(rename = "garbage")]
     MalformedRequests {
         /// The probability.
         share: f64,
     },
-    /// This many times as many requests are sent.
+    /// The rate of requests is higher by a factor.
     #[serde(rename = "burst")]
     LoadBurst {
         /// The factor.
         #[serde(rename = "times")]
         factor: f64,
     },
-    /// A sidecar's descriptors run out: it may open no more than it has.
+    /// A sidecar runs out of descriptors: it may open only one more than it has.
     #[serde(rename = "descriptors")]
     DescriptorsExhausted {
         /// The index of the sidecar.
         sidecar: usize,
     },
-    /// A sidecar reads a new configuration, which is valid or not.
+    /// A sidecar reloads its configuration, which may be invalid.
     #[serde(rename = "reload")]
     ReloadConfiguration {
         /// The index of the sidecar.
         sidecar: usize,
-        /// Whether the new configuration can be applied.
+        /// Whether the new configuration is valid.
         #[serde(rename = "sound")]
         valid: bool,
     },
@@ -333,19 +333,19 @@
         /// The index of the sidecar.
         sidecar: usize,
     },
-    /// A sidecar's process is stopped for so long, as by SIGSTOP or a busy machine.
+    /// A sidecar's process gets no processor time, as after SIGSTOP or on a busy machine.
     #[serde(rename = "hold-up")]
     HoldUp {
         /// The index of the sidecar.
         sidecar: usize,
     },
-    /// Some datagrams between sidecars are lost, half as many are duplicated.
+    /// Some datagrams between sidecars are lost; half as many are duplicated.
     #[serde(rename = "notes")]
     GossipLoss {
         /// The probability.
         share: f64,
     },
-    /// Some connections are reset this long after a request was executed, in place of its response.
+    /// Some connections are reset some time after a request was executed, in place of its response.
     #[serde(rename = "reset-late")]
     DelayedReset {
         /// The index of the server.
@@ -378,13 +378,13 @@
         /// The index of the server.
         server: usize,
     },
-    /// Operators drain a sidecar's clients, and resume at the end.
+    /// Operators drain a sidecar's clients, and end the drain at the end.
     #[serde(rename = "send-away")]
     DrainClients {
         /// The index of the sidecar.
         sidecar: usize,
     },
-    /// Many callers of a sidecar's admin listener send nothing, half a line, or nonsense.
+    /// Many callers of a sidecar's admin listener send nothing, an incomplete line, or invalid bytes.
     #[serde(rename = "bad-calls")]
     MalformedAdminCalls {
         /// The index of the sidecar.
@@ -393,7 +393,7 @@
 }
 
 impl FaultKind {
-    /// Whether it comes from a sidecar's operators.
+    /// Whether it is an action of a sidecar's operators.
     pub fn is_by_operators(&self) -> bool {
         matches!(
             self,
@@ -403,7 +403,7 @@
         )
     }
 
-    /// Its name in scenario files.
+    /// Returns its name in scenario files.
     pub fn name(&self) -> String {
         let value = serde_json::to_value(self).unwrap_or_default();
         value["kind"].as_str().unwrap_or_default().to_owned()
--- a/crates/simulation/src/scenario/hold_ups.rs
+++ b/crates/simulation/src/scenario/hold_ups.rs
@@ -1,6 +1,6 @@
-//! Scenarios in which processes are held up again and again.
+//! Scenarios in which processes are held up repeatedly.
 //!
-//! They are drawn beside those of [`Scenario::draw`], so that what a seed means there stays as it is.
+//! The added faults have their own random numbers, so that [`Scenario::draw`] draws the same scenarios as before.
 
 use std::ops::Range;
 
@@ -9,23 +9,23 @@
 
 use super::{FAULTS_BEGIN_MS, FAULTS_END_MS, Fault, FaultKind, Scenario};
 
-/// Separates the numbers that draw these faults from those that draw the others.
+/// Separates the random numbers for these faults from those for the others.
 const SEED_MASK: u64 = 0x401d_5095;
-/// How many clients of each sidecar rest until about the time at which their connections are ended.
+/// The number of clients of each sidecar that rest for about the time after which idle connections are closed.
 const RESTING_CLIENTS: usize = 12;
-/// How long a process is held up; the protocol allows for 0.15 s.
+/// The duration of a hold-up, in milliseconds. The protocol allows for 0.15 s.
 const HELD_UP_MS: Range<u64> = 5..150;
-/// How long it runs in between.
+/// The time between two hold-ups, in milliseconds.
 const RUNNING_MS: Range<u64> = 20..400;
 
 impl Scenario {
-    /// The scenario of a seed, with sidecars that are held up again and again, and with resting clients.
+    /// Draws the scenario of a seed, with sidecars that are held up repeatedly, and with resting clients.
     pub fn draw_with_hold_ups(seed: u64) -> Scenario {
         let mut scenario = Scenario::draw(seed);
-        // An agent that counts its versions anew on connections that stay open cannot be told from one with nothing
-        // new, if its version is by chance that of the last answer, and no call was open in between.
+        // An agent that restarts its version count on open connections cannot be told from one without changes if the
+        // new version happens to equal that of the last answer, and no call was open in between.
         scenario.faults.retain(|fault| fault.kind != FaultKind::DiscoveryRestart);
-        // What has the id of an open request may be read when that has just ended, and is another request then.
+        // A hold-up may delay the read of a duplicate id until the open request has ended. It is valid then.
         scenario.faults.retain(|fault| !matches!(fault.kind, FaultKind::DuplicateIds { .. }));
         scenario.resting_clients = RESTING_CLIENTS;
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_MASK);
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,5 +1,4 @@
-//! Scenarios: the world of a run, and what goes wrong in it, when and for how long. They are drawn from a
-//! seed or read from a file.
+//! Scenarios describe the simulated world of a run and its faults. They are drawn from a seed or read from a file.
 
 mod broken_rejections;
 mod discovery_faults;
@@ -21,24 +20,24 @@
 pub use self::error::{InvalidValue, ScenarioError};
 pub use self::fault::{Fault, FaultKind};
 
-/// Faults begin no earlier, in milliseconds, so that every run has seen the world in order.
+/// The earliest begin of a fault, in milliseconds. Before it, every run works without faults.
 pub const FAULTS_BEGIN_MS: u64 = 1500;
-/// Faults have ended by then, in milliseconds.
+/// The time by which all faults have ended, in milliseconds.
 pub const FAULTS_END_MS: u64 = 13_000;
-/// Clients send no new requests from then on, in milliseconds.
+/// The time from which on clients send no new requests, in milliseconds.
 pub const LOAD_END_MS: u64 = 21_000;
 
 /// A scenario.
 ///
-/// The names in files are those of the first version.
+/// Keys in files differ from the names of the fields where files of earlier versions have other names.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// For everything that is drawn while it runs.
+    /// The seed of all random numbers of the run.
     pub seed: u64,
-    /// How many sidecars there are.
+    /// The number of sidecars.
     pub sidecars: usize,
-    /// How many log servers there are in each of the three zones.
+    /// The number of log servers in each of the three zones.
     #[serde(rename = "servers")]
     pub servers_per_zone: usize,
     /// Requests per second at each sidecar.
@@ -46,36 +45,36 @@
     /// Whether sidecars poll discovery; otherwise an agent pushes the endpoint list.
     #[serde(default, rename = "asked")]
     pub discovery_polled: bool,
-    /// Whether sidecars have a cached endpoint list when they start.
+    /// Whether sidecars start with a cached endpoint list.
     #[serde(default, rename = "known")]
     pub endpoints_cached: bool,
     /// The limit of descriptors of each sidecar.
     pub sockets: usize,
-    /// How many requests each log server executes at once.
+    /// The number of requests that each log server executes at once.
     #[serde(default = "default_server_concurrency", rename = "cores")]
     pub server_concurrency: usize,
-    /// Whether ready tasks, and events of one instant, come in random order.
+    /// Whether ready tasks and simultaneous events are processed in random order.
     pub shuffle: bool,
-    /// How late timers fire at most, in microseconds.
+    /// The longest delay of timers, in microseconds.
     pub timer_lag_us: u64,
     /// Whether attempts may be cancelled.
     #[serde(default = "default_cancellation", rename = "cancel")]
     pub cancellation: bool,
-    /// Whether sidecars gossip what they know.
+    /// Whether sidecars exchange gossip.
     #[serde(default, rename = "tier")]
     pub gossip: bool,
-    /// How long a connection to a server may take to be established, in milliseconds.
+    /// The connect timeout of sidecars for servers, in milliseconds.
     #[serde(default = "default_connect_timeout_ms", rename = "connect_ms")]
     pub connect_timeout_ms: u64,
-    /// How many clients of each sidecar rest between their requests.
+    /// The number of clients of each sidecar that rest between their requests.
     #[serde(default, rename = "resting", skip_serializing_if = "is_zero")]
     pub resting_clients: usize,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// Earlier scenario files have no key for what is zero.
+/// Whether a count is zero. Scenario files of earlier versions leave out keys that are zero.
 fn is_zero(count: &usize) -> bool {
     *count == 0
 }
@@ -97,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, is not a scenario, or has a value that cannot be played.
+    /// If the file cannot be read, is not a scenario, or has a value out of its range.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Io { path: path.to_owned(), source })?;
@@ -121,7 +120,7 @@
             .map_err(|source| ScenarioError::Io { path: path.to_owned(), source })
     }
 
-    /// Checks that it can be played.
+    /// Checks that all values are within their ranges.
     fn validate(&self) -> Result<(), InvalidValue> {
         let check = |key: &str, valid: bool, expected: &'static str| {
             if valid { Ok(()) } else { Err(InvalidValue { key: key.to_owned(), expected }) }
@@ -141,14 +140,14 @@
         Ok(())
     }
 
-    /// How long a sidecar's process is held up at a time.
+    /// Returns the longest hold-up of a sidecar's process; zero if there is none.
     pub fn longest_hold_up(&self) -> Duration {
         let hold_ups =
             self.faults.iter().filter(|fault| matches!(fault.kind, FaultKind::HoldUp { .. }));
         Duration::from_millis(hold_ups.map(|fault| fault.for_ms).max().unwrap_or(0))
     }
 
-    /// The scenario as the text of a file.
+    /// Returns the scenario in the format of scenario files.
     pub fn text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
--- a/crates/simulation/src/scenario/second_answers.rs
+++ b/crates/simulation/src/scenario/second_answers.rs
@@ -1,13 +1,13 @@
-//! Scenarios in which servers send answers a second time.
+//! Scenarios in which servers send responses a second time.
 
 use super::{FaultKind, Scenario};
 
-/// Separates the numbers that draw these faults from those that draw the others.
+/// Separates the random numbers for these faults from those for the others.
 const SEED_MASK: u64 = 0x0200_0200;
 
 impl Scenario {
-    /// The scenario of a seed, with servers that send answers a second time; for odd seeds, with sidecars that are
-    /// held up as well.
+    /// Draws the scenario of a seed, with servers that send responses a second time. For odd seeds, sidecars are held
+    /// up as well.
     pub fn draw_with_second_answers(seed: u64) -> Scenario {
         let mut scenario = match seed.is_multiple_of(2) {
             true => Scenario::draw(seed),
--- a/crates/simulation/src/scenario/server_faults.rs
+++ b/crates/simulation/src/scenario/server_faults.rs
@@ -1,19 +1,19 @@
-//! Faults of single servers that are drawn beside those of [`Scenario::draw`], so that what a seed means there
-//! stays as it is.
+//! Adds faults of single servers to a scenario. They have their own random numbers, so that [`Scenario::draw`] draws
+//! the same scenarios as before.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 use super::{FAULTS_BEGIN_MS, FAULTS_END_MS, Fault, FaultKind, Scenario};
 
-/// The last of these faults begins no later than this before the end of the faults.
+/// The shortest time between the begin of one of these faults and the end of all faults, in milliseconds.
 const LAST_BEGIN_MARGIN_MS: u64 = 3000;
-/// The indices of the servers.
+/// The indices of servers that faults are drawn for.
 const SERVER_INDICES: std::ops::Range<usize> = 0..9;
 
 impl Scenario {
-    /// Adds one to four faults, each made by `kind` of the index of a server and a share of its answers. `seed` is
-    /// of these draws alone.
+    /// Adds one to four faults. `kind` makes each of them from the index of a server and the share of its responses
+    /// that have the fault. `seed` is used for nothing else.
     pub(super) fn add_server_faults(&mut self, seed: u64, kind: fn(usize, f64) -> FaultKind) {
         let mut rng = SmallRng::seed_from_u64(seed);
         for _ in 0..rng.random_range(1..=4) {
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of drawing, reading and writing scenarios.
+//! Tests of the drawing, reading and writing of scenarios.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn scenarios_with_discovery_faults_can_be_played_and_have_them() {
+fn scenarios_with_discovery_faults_are_valid_and_have_such_faults() {
     let mut names = std::collections::BTreeSet::new();
     for seed in 0..100 {
         let drawn = Scenario::draw_with_discovery_faults(seed);
@@ -29,7 +29,7 @@
     assert!(names.contains("discovery-late") && names.contains("discovery-stale"), "{names:?}");
 }
 
-/// Checks that the scenarios of seeds can be played and written, and that each has a fault of this name.
+/// Asserts that the scenarios of 100 seeds are valid and survive a round trip, and that each has a fault of this kind.
 fn assert_all_have_fault(draw: fn(u64) -> Scenario, name: &str) {
     for seed in 0..100 {
         let drawn = draw(seed);
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn scenarios_with_faults_of_single_servers_can_be_played_and_have_them() {
+fn scenarios_with_faults_of_single_servers_are_valid_and_have_such_faults() {
     assert_all_have_fault(Scenario::draw_with_broken_rejections, "broken-rejections");
     assert_all_have_fault(Scenario::draw_with_second_answers, "second-answers");
 }
 
 #[test]
-fn scenarios_with_hold_ups_hold_up_each_sidecar_again_and_again() {
+fn scenarios_with_hold_ups_hold_up_each_sidecar_repeatedly() {
     for seed in 0..100 {
         let drawn = Scenario::draw_with_hold_ups(seed);
         drawn.validate().expect("it can be played");
--- a/crates/simulation/src/seeds.rs
+++ b/crates/simulation/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Many seeds, run on several threads.
+//! Runs many seeds on several threads.
 
 use std::ops::Range;
 use std::sync::Mutex;
@@ -8,34 +8,34 @@
 use crate::run::{Outcome, run_scenario};
 use crate::scenario::Scenario;
 
-/// A seed whose run broke a rule.
+/// A seed whose run has broken a rule.
 pub struct FailedSeed {
     /// Its scenario.
     pub scenario: Scenario,
-    /// What the run came to.
+    /// The result of the run.
     pub outcome: Outcome,
 }
 
-/// Draws the scenario of a seed.
+/// A function that draws the scenario of a seed.
 pub type DrawFunction = fn(u64) -> Scenario;
 
-/// What many seeds came to.
+/// The results of many seeds.
 #[derive(Default)]
 pub struct SeedsReport {
-    /// Sums over all runs.
+    /// The sums over all runs.
     pub coverage: Coverage,
     /// The sum of all hashes, modulo 2^64.
     pub hash_sum: u64,
-    /// Those that broke a rule, by seed.
+    /// The seeds that have broken a rule, in order.
     pub failures: Vec<FailedSeed>,
 }
 
-/// When to stop.
+/// The reaction to a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFailure {
-    /// Begin no new run after the first failure.
+    /// Starts no new run after the first failure.
     Stop,
-    /// Run all seeds.
+    /// Runs all seeds.
     KeepGoing,
 }
 
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,20 +1,20 @@
-//! Reduces a failing scenario to the faults that matter (delta debugging: Zeller and Hildebrandt, IEEE
-//! TSE 2002), then makes each shorter and the world smaller, as long as the same rule is broken.
+//! Reduces a failing scenario to the faults that are needed to break the same rule (delta debugging: Zeller and
+//! Hildebrandt, IEEE TSE 2002), then shortens each fault and simplifies the world.
 
 use crate::oracle::Rule;
 use crate::run::run_scenario;
 use crate::scenario::Scenario;
 
-/// Faults are not made shorter than this, in milliseconds.
+/// Faults of this duration or less, in milliseconds, are not shortened.
 const SHORTEST_FAULT_MS: u64 = 100;
 
-/// The rule that a scenario breaks.
+/// Runs a scenario and returns the rule that it breaks.
 fn broken_rule(scenario: &Scenario) -> Option<Rule> {
     run_scenario(scenario, false).violation.map(|violation| violation.rule)
 }
 
-/// A scenario as small as possible that breaks the same rule; none if this one breaks no rule.
-/// `on_progress` is called with the number of faults that are left.
+/// Returns a smaller scenario that breaks the same rule; `None` if this one breaks no rule. `on_progress` is called with
+/// the number of faults that are left.
 pub fn shrink(scenario: &Scenario, on_progress: impl FnMut(usize)) -> Option<Scenario> {
     let rule = broken_rule(scenario)?;
     let still_fails = |scenario: &Scenario| broken_rule(scenario) == Some(rule);
@@ -25,7 +25,7 @@
     Some(smallest)
 }
 
-/// Removes groups of faults, from halves down to single ones.
+/// Removes groups of faults, from halves of them down to single ones.
 fn remove_faults(
     smallest: &mut Scenario,
     still_fails: &impl Fn(&Scenario) -> bool,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Halves the duration of each fault as often as possible.
+/// Halves the duration of each fault as long as the rule is still broken.
 fn shorten_faults(smallest: &mut Scenario, still_fails: &impl Fn(&Scenario) -> bool) {
     for index in 0..smallest.faults.len() {
         while smallest.faults[index].for_ms > SHORTEST_FAULT_MS {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Makes the world smaller and simpler, one property at a time.
+/// Simplifies the world, one property at a time.
 fn simplify_world(smallest: &mut Scenario, still_fails: &impl Fn(&Scenario) -> bool) {
     let simplifications: [fn(&mut Scenario); 5] = [
         |scenario| scenario.sidecars = 1,
--- a/crates/simulation/tests/compatibility.rs
+++ b/crates/simulation/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Scenario files written by an earlier version are read, and are written again byte for byte.
+//! Tests that scenario files of an earlier version are read, and written back byte for byte.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -21,6 +21,7 @@
     files
 }
 
+/// Whether a file has all keys.
 fn is_complete(file: &Path) -> bool {
     !file.to_string_lossy().ends_with(DEFAULTS_LEFT_OUT)
 }
--- a/crates/simulation/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! The list of mutants: each of them can still be put into the code.
+//! Tests that each mutant of the list can still be applied to the code.
 
 use std::path::{Path, PathBuf};
 
@@ -24,9 +24,9 @@
     from: String,
 }
 
-/// A text that has moved makes the tool end before it plays any mutant.
+/// If a text to be replaced is missing or ambiguous, the tool fails before it runs any mutant.
 #[test]
-fn text_that_each_mutant_replaces_stands_once_in_its_file() {
+fn text_that_each_mutant_replaces_occurs_once_in_its_file() {
     let crate_folder = Path::new(env!("CARGO_MANIFEST_DIR"));
     let list = std::fs::read_to_string(crate_folder.join("mutants.toml")).expect("the list");
     let Mutants { mutant: mutants } = toml::from_str(&list).expect("a list of mutants");
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! What CI plays: the scenarios that once failed, a fixed range of seeds, and the proof that a run is
-//! the same each time. `lb-simulation run --seeds A..B` plays more.
+//! Runs the scenarios that once failed and fixed ranges of seeds, and checks that runs are deterministic.
+//! `lb-simulation run --seeds A..B` runs more seeds.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,15 +8,15 @@
 use simulation::run::run_scenario;
 use simulation::scenario::Scenario;
 
-/// Seeds that every change is played on.
+/// The number of standard seeds, and of seeds with discovery faults.
 const SEEDS: u64 = 160;
-/// The first of as many seeds with discovery that is slow or falls silent.
+/// The first seed with discovery that is slow or falls silent.
 const FIRST_DISCOVERY_SEED: u64 = 190;
-/// Seeds with processes that are held up.
+/// The number of seeds with processes that are held up.
 const HOLD_UP_SEEDS: u64 = 80;
-/// Seeds with answers that are sent twice.
+/// The number of seeds with responses that are sent twice.
 const SECOND_ANSWER_SEEDS: u64 = 80;
-/// Seeds with rejections that prove nothing.
+/// The number of seeds with rejections that do not prove that the request was not executed.
 const BROKEN_REJECTION_SEEDS: u64 = 80;
 
 fn assert_no_rule_broken(scenario: &Scenario, what: &str) {
@@ -44,8 +44,8 @@
     play_seeds(0..SEEDS, Scenario::draw);
 }
 
-/// A slow or silent agent while servers drain. While calls to it took each other's place, three of these seeds were
-/// broken, and eight of the first 1,000.
+/// The agent is slow or silent while servers drain. If a new call to the agent replaces the one before, three of these
+/// seeds break a rule, and eight of the first 1,000.
 #[test]
 fn fixed_range_of_seeds_with_discovery_faults_breaks_no_rule() {
     play_seeds(
@@ -54,43 +54,44 @@
     );
 }
 
-/// Processes that are held up, and resting clients. While a timeout of an idle connection did not look at its socket,
-/// most of these seeds were broken.
+/// Processes are held up, and clients rest between requests. If idle connections time out without a check of their
+/// sockets, most of these seeds break a rule.
 #[test]
 fn fixed_range_of_seeds_with_hold_ups_breaks_no_rule() {
     play_seeds(0..HOLD_UP_SEEDS, Scenario::draw_with_hold_ups);
 }
 
-/// Servers whose rejections prove nothing. While those were believed from their heads, most of these seeds were broken.
+/// Servers send rejections that do not prove that the request was not executed. If a rejection is trusted once its head
+/// was read, most of these seeds break a rule.
 #[test]
 fn fixed_range_of_seeds_with_broken_rejections_breaks_no_rule() {
     play_seeds(0..BROKEN_REJECTION_SEEDS, Scenario::draw_with_broken_rejections);
 }
 
-/// Servers that answer twice. While a response was taken for a request's because of its place, most of these seeds were
-/// broken.
+/// Servers send responses twice. If a response is matched to a request by its position on the connection alone, most of
+/// these seeds break a rule.
 #[test]
 fn fixed_range_of_seeds_with_second_answers_breaks_no_rule() {
     play_seeds(0..SECOND_ANSWER_SEEDS, Scenario::draw_with_second_answers);
 }
 
 #[test]
-fn connection_is_not_used_again_behind_what_may_be_a_copy_of_a_rejection() {
+fn connection_is_not_reused_after_a_possible_copy_of_a_rejection() {
     play_seeds(2651..2652, Scenario::draw_with_second_answers);
 }
 
 #[test]
-fn second_copy_of_a_rejection_that_a_partition_held_back_is_not_believed() {
+fn second_copy_of_a_rejection_that_a_partition_delayed_is_not_trusted() {
     play_seeds(4720..4721, Scenario::draw_with_broken_rejections);
 }
 
 #[test]
-fn connections_that_wait_for_a_descriptor_as_a_process_exits_are_served() {
+fn connections_that_wait_for_a_descriptor_when_a_process_exits_are_served() {
     play_seeds(1489..1490, Scenario::draw);
 }
 
 #[test]
-fn connections_that_few_descriptors_keep_waiting_up_to_the_exit_are_served() {
+fn connections_that_wait_until_the_exit_because_descriptors_are_short_are_served() {
     play_seeds(78_000_309..78_000_310, Scenario::draw_with_hold_ups);
     for seed in [8_000_278, 8_001_652, 8_003_001] {
         play_seeds(seed..seed + 1, Scenario::draw);
@@ -98,17 +99,17 @@
 }
 
 #[test]
-fn accepting_leaves_descriptors_to_discovery_where_they_are_short() {
+fn accept_leaves_descriptors_to_discovery_when_they_are_short() {
     play_seeds(90_001_944..90_001_945, Scenario::draw_with_broken_rejections);
 }
 
 #[test]
-fn wait_for_a_descriptor_as_a_process_exits_is_taken_off_the_time_of_a_request() {
+fn wait_for_a_descriptor_when_a_process_exits_is_subtracted_from_the_time_of_a_request() {
     play_seeds(2165..2166, Scenario::draw_with_broken_rejections);
 }
 
 #[test]
-fn attempt_that_waits_for_its_connection_is_not_sent_once_its_client_has_left() {
+fn attempt_that_waits_for_its_connection_is_not_sent_after_its_client_has_left() {
     play_seeds(75_000_439..75_000_440, Scenario::draw_with_hold_ups);
 }
 
@@ -156,7 +157,7 @@
     assert_ne!(other, run_scenario(&Scenario::draw(3), false).hash);
 }
 
-/// The Rust sources below a folder, without files that hold test modules only.
+/// Returns the Rust sources below a folder, without files that hold only tests.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("readable").path());
     let nested = entries.flat_map(|path| match path.is_dir() {
@@ -166,7 +167,7 @@
     nested.filter(|path| !is_test_module(path)).collect()
 }
 
-/// Whether a file is the module `tests` that its parent module declares for tests only.
+/// Whether a file is a module `tests` that its parent module declares under `#[cfg(test)]`.
 fn is_test_module(file: &Path) -> bool {
     let folder = file.parent().expect("a folder");
     let parents = [folder.join("mod.rs"), folder.with_extension("rs")];
@@ -176,17 +177,17 @@
     file.file_name().is_some_and(|name| name == "tests.rs") && parents.iter().any(declared)
 }
 
-/// How a module declares that another file holds its tests.
+/// The declaration of a test module in a file of its own.
 const TEST_MODULE_DECLARATION: &str = "#[cfg(test)]\nmod tests;\n";
 
-/// The code of a file without its tests.
+/// Returns the code of a file without its tests.
 fn code_without_tests(file: &Path) -> String {
     let text = std::fs::read_to_string(file).expect("text").replace(TEST_MODULE_DECLARATION, "");
     text.split("#[cfg(test)]").next().unwrap_or_default().to_owned()
 }
 
-/// What would let something into the sidecar that no seed gives: the system's clocks, tasks and random
-/// numbers, `select!` in random order, and maps in random order.
+/// Everything that a run depends on has to come from its seed. The clocks, tasks and random numbers of the system,
+/// `select!` without `biased`, and the iteration of maps in random order would make runs differ.
 #[test]
 fn sidecar_takes_time_tasks_and_randomness_only_from_the_runtime() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../src/sidecar");
@@ -211,7 +212,7 @@
             let first = rest.trim_start();
             assert!(first.starts_with("biased;"), "{name}:{line}: select! without biased");
         }
-        // Maps in random order may be looked up by key, but not iterated.
+        // Maps in random order may be accessed by key, but not iterated.
         let iterated = code.contains("collections::HashMap") && !path.ends_with("config/names.rs");
         assert!(!iterated, "{name}: a map in random order");
         checked_files += 1;
