--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -14,9 +14,9 @@
 /// The size of the chunks of a long body, and of the pieces in which a slow client writes one, in bytes.
 pub const CHUNK_SIZE: usize = 16 << 10;
 /// The speed of a server at its start, as a fraction of its full speed.
-const COLD_SPEED: f64 = 0.16;
+const INITIAL_SPEED: f64 = 0.16;
 /// The time after its start at which a server has its full speed.
-const SLOW_START: Duration = Duration::from_secs(23);
+const SLOW_START_DURATION: Duration = Duration::from_secs(23);
 
 /// The correlation id of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,6 +43,6 @@
 
 /// Returns the speed of a server at this time after its start, as a fraction of its full speed.
 pub fn slow_start_speed(age: Duration) -> f64 {
-    let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
-    COLD_SPEED + (1.0 - COLD_SPEED) * progress
+    let progress = (age.as_secs_f64() / SLOW_START_DURATION.as_secs_f64()).min(1.0);
+    INITIAL_SPEED + (1.0 - INITIAL_SPEED) * progress
 }
--- a/crates/simulation/src/oracle/slow_start.rs
+++ b/crates/simulation/src/oracle/slow_start.rs
@@ -26,7 +26,7 @@
 
 /// A server that has started during the run.
 #[derive(Debug)]
-struct ColdServer {
+struct StartedServer {
     started_at: Duration,
     /// The sidecars that were informed that the server may be used.
     informed: BTreeSet<usize>,
@@ -36,16 +36,16 @@
 
 /// The work that was sent to a server in slow start within the window.
 #[derive(Debug)]
-pub(super) struct ColdServerLoad {
+pub(super) struct SlowStartLoad {
     server: usize,
     age: Duration,
     total: Duration,
-    /// The part of the total that sidecars sent which were informed of the server's start.
+    /// The part of the total that was sent by sidecars that were informed of the server's start.
     informed: Duration,
     budget: Duration,
 }
 
-impl ColdServerLoad {
+impl SlowStartLoad {
     /// Returns the label under which the load is counted.
     pub(super) fn label(&self) -> &'static str {
         match self.total.as_secs_f64() / self.budget.as_secs_f64() {
@@ -57,7 +57,7 @@
 
     /// Returns a breach if the work exceeds the budget and at least two thirds of it come from informed sidecars.
     pub(super) fn check(&self) -> Option<Breach> {
-        let ColdServerLoad { server, age, total, informed, budget } = self;
+        let SlowStartLoad { server, age, total, informed, budget } = self;
         let too_much = total > budget && 3 * *informed >= 2 * *total;
         too_much.then(|| {
             let message =
@@ -70,27 +70,27 @@
 /// The servers that have started during the run.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    servers: BTreeMap<usize, ColdServer>,
+    servers: BTreeMap<usize, StartedServer>,
 }
 
 impl SlowStart {
     pub(super) fn server_started(&mut self, now: Duration, server: usize) {
         let recent = VecDeque::new();
-        let cold = ColdServer { started_at: now, informed: BTreeSet::new(), recent };
-        self.servers.insert(server, cold);
+        let state = StartedServer { started_at: now, informed: BTreeSet::new(), recent };
+        self.servers.insert(server, state);
     }
 
     /// Records that a sidecar was informed that a server may be used.
     pub(super) fn inform(&mut self, sidecar: usize, server: usize) {
-        if let Some(cold) = self.servers.get_mut(&server) {
-            cold.informed.insert(sidecar);
+        if let Some(state) = self.servers.get_mut(&server) {
+            state.informed.insert(sidecar);
         }
     }
 
     /// Records that a sidecar has started: it was informed of nothing yet.
     pub(super) fn forget_sidecar(&mut self, sidecar: usize) {
-        for cold in self.servers.values_mut() {
-            cold.informed.remove(&sidecar);
+        for state in self.servers.values_mut() {
+            state.informed.remove(&sidecar);
         }
     }
 
@@ -103,20 +103,20 @@
         server: usize,
         work: Duration,
         limits: &SlowStartLimits,
-    ) -> Option<ColdServerLoad> {
-        let cold = self.servers.get_mut(&server)?;
-        let age = now.saturating_sub(cold.started_at);
-        let informed = cold.informed.contains(&sidecar) || age > INFORMED_AFTER;
-        cold.recent.push_back(SentWork { at: now, work, informed });
-        while cold.recent.front().is_some_and(|sent| now - sent.at > limits.window) {
-            cold.recent.pop_front();
+    ) -> Option<SlowStartLoad> {
+        let state = self.servers.get_mut(&server)?;
+        let age = now.saturating_sub(state.started_at);
+        let informed = state.informed.contains(&sidecar) || age > INFORMED_AFTER;
+        state.recent.push_back(SentWork { at: now, work, informed });
+        while state.recent.front().is_some_and(|sent| now - sent.at > limits.window) {
+            state.recent.pop_front();
         }
         let capacity = limits.window.mul_f64(limits.concurrency as f64 * slow_start_speed(age));
-        Some(ColdServerLoad {
+        Some(SlowStartLoad {
             server,
             age,
-            total: cold.recent.iter().map(|sent| sent.work).sum(),
-            informed: cold.recent.iter().filter(|sent| sent.informed).map(|s| s.work).sum(),
+            total: state.recent.iter().map(|sent| sent.work).sum(),
+            informed: state.recent.iter().filter(|sent| sent.informed).map(|s| s.work).sum(),
             budget: capacity.mul_f64(limits.multiple * VARIATION_FACTOR) + VARIATION_WORK,
         })
     }
--- a/crates/simulation/src/run/conditions.rs
+++ b/crates/simulation/src/run/conditions.rs
@@ -184,7 +184,7 @@
 }
 
 impl Simulation<'_> {
-    /// Applies the conditions of the active faults, and none of any other. `active` tells for each fault of the
+    /// Applies the conditions of the active faults, and resets all others. `active` tells for each fault of the
     /// scenario whether it is active.
     pub(super) fn apply_conditions(&mut self, active: &[bool]) {
         let faults = &self.scenario.faults;
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -46,7 +46,8 @@
             timer_lag_us: *[0, 200, 1000, 3000].choose(&mut rng).unwrap_or(&0),
             cancellation: rng.random_bool(0.8),
             gossip: rng.random_bool(0.5),
-            // Deployments with longer timeouts may establish a connection long after a server was selected for the request.
+            // With longer timeouts, as some deployments have, a connection may be established long after its server was
+            // selected for the request.
             connect_timeout_ms: *[75, 75, 75, 400, 1500].choose(&mut rng).unwrap_or(&75),
             resting_clients: 0,
             faults,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -13,8 +13,8 @@
     run_scenario(scenario, false).violation.map(|violation| violation.rule)
 }
 
-/// Returns a smaller scenario that breaks the same rule; `None` if this one breaks no rule. `on_progress` is called with
-/// the number of faults that are left.
+/// Returns a smaller scenario that breaks the same rule; `None` if this one breaks no rule. `on_progress` is called
+/// with the number of faults that are left.
 pub fn shrink(scenario: &Scenario, on_progress: impl FnMut(usize)) -> Option<Scenario> {
     let rule = broken_rule(scenario)?;
     let still_fails = |scenario: &Scenario| broken_rule(scenario) == Some(rule);
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -30,13 +30,13 @@
 fn regression_scenarios_break_no_rule() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     let mut played = 0;
-    for file in std::fs::read_dir(folder).expect("kept scenarios") {
+    for file in std::fs::read_dir(folder).expect("the folder of regression scenarios") {
         let path = file.expect("readable").path();
         let scenario = Scenario::read(&path).expect("a scenario");
         assert_no_rule_broken(&scenario, &path.display().to_string());
         played += 1;
     }
-    assert!(played >= 7, "{played} kept scenarios");
+    assert!(played >= 7, "{played} regression scenarios");
 }
 
 #[test]
@@ -147,10 +147,10 @@
             .args(["play", &seed.to_string()])
             .output()
             .expect("it starts");
-        let told = String::from_utf8_lossy(&out.stdout).into_owned();
+        let stdout = String::from_utf8_lossy(&out.stdout).into_owned();
         assert!(
-            told.contains(&format!("hash {:016x}, {} steps", one.hash, one.event_count)),
-            "{told}"
+            stdout.contains(&format!("hash {:016x}, {} steps", one.hash, one.event_count)),
+            "{stdout}"
         );
     }
     let other = run_scenario(&Scenario::draw(2), false).hash;
