--- a/crates/simulation/src/oracle/attempts.rs
+++ b/crates/simulation/src/oracle/attempts.rs
@@ -92,7 +92,7 @@
             let server = pair.server;
             Breach::new(
                 Rule::Drain,
-                format!("sent to server {server}, which is not eligible since {since:?}"),
+                format!("sent to server {server}, which has not been eligible since {since:?}"),
             )
         })
     }
