--- a/crates/simulation/src/oracle/slow_start.rs
+++ b/crates/simulation/src/oracle/slow_start.rs
@@ -1,4 +1,4 @@
-//! The rule `cold`: a server that has just started gets no more work than it can bear.
+//! Checks the rule `cold`: a server in slow start gets no more work than its capacity allows.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use super::rule::Rule;
 use crate::model::slow_start_speed;
 
-/// After this time every sidecar counts as informed of a server's start.
+/// The time after a server's start from which on every sidecar counts as informed of it.
 const INFORMED_AFTER: Duration = Duration::from_secs(8);
-/// What chance may multiply the work that a cold server gets by.
-const CHANCE_FACTOR: f64 = 1.1;
-/// What chance may add to the work that a cold server gets.
-const CHANCE_WORK: Duration = Duration::from_millis(100);
+/// The factor by which random variation may exceed the budget of a server in slow start.
+const VARIATION_FACTOR: f64 = 1.1;
+/// The work by which random variation may exceed the budget of a server in slow start, in addition to the factor.
+const VARIATION_WORK: Duration = Duration::from_millis(100);
 
 /// Work that was sent to a server.
 #[derive(Debug)]
@@ -26,27 +26,27 @@
 
 /// A server that has started during the run.
 #[derive(Debug)]
-struct ColdServer {
+struct StartedServer {
     started_at: Duration,
-    /// The sidecars that were informed of its start.
+    /// The sidecars that were informed that the server may be used.
     informed: BTreeSet<usize>,
-    /// What was sent within the window.
+    /// The work that was sent within the window.
     recent: VecDeque<SentWork>,
 }
 
-/// The work that a cold server got within the window.
+/// The work that was sent to a server in slow start within the window.
 #[derive(Debug)]
-pub(super) struct ColdServerLoad {
+pub(super) struct SlowStartLoad {
     server: usize,
     age: Duration,
     total: Duration,
-    /// What came from sidecars that were informed of the server's start.
+    /// The part of the total that was sent by sidecars that were informed of the server's start.
     informed: Duration,
     budget: Duration,
 }
 
-impl ColdServerLoad {
-    /// The label that it is counted under.
+impl SlowStartLoad {
+    /// Returns the label under which the load is counted.
     pub(super) fn label(&self) -> &'static str {
         match self.total.as_secs_f64() / self.budget.as_secs_f64() {
             0.0..0.25 => "slow start: under a quarter of the budget",
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Too much work, two thirds of it or more from sidecars that were informed.
+    /// Returns a breach if the work exceeds the budget and at least two thirds of it come from informed sidecars.
     pub(super) fn check(&self) -> Option<Breach> {
-        let ColdServerLoad { server, age, total, informed, budget } = self;
+        let SlowStartLoad { server, age, total, informed, budget } = self;
         let too_much = total > budget && 3 * *informed >= 2 * *total;
         too_much.then(|| {
             let message =
-                format!("{total:?} of work for server {server}, {age:?} old: {budget:?} at most");
+                format!("server {server} got {total:?} of work {age:?} after its start, at most {budget:?} allowed");
             Breach::new(Rule::Cold, message)
         })
     }
@@ -70,31 +70,32 @@
 /// The servers that have started during the run.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    servers: BTreeMap<usize, ColdServer>,
+    servers: BTreeMap<usize, StartedServer>,
 }
 
 impl SlowStart {
     pub(super) fn server_started(&mut self, now: Duration, server: usize) {
         let recent = VecDeque::new();
-        let cold = ColdServer { started_at: now, informed: BTreeSet::new(), recent };
-        self.servers.insert(server, cold);
+        let state = StartedServer { started_at: now, informed: BTreeSet::new(), recent };
+        self.servers.insert(server, state);
     }
 
-    /// A sidecar was informed that a server may be used.
+    /// Records that a sidecar was informed that a server may be used.
     pub(super) fn inform(&mut self, sidecar: usize, server: usize) {
-        if let Some(cold) = self.servers.get_mut(&server) {
-            cold.informed.insert(sidecar);
+        if let Some(state) = self.servers.get_mut(&server) {
+            state.informed.insert(sidecar);
         }
     }
 
-    /// A sidecar has started: it was informed of nothing yet.
+    /// Records that a sidecar has started: it was informed of nothing yet.
     pub(super) fn forget_sidecar(&mut self, sidecar: usize) {
-        for cold in self.servers.values_mut() {
-            cold.informed.remove(&sidecar);
+        for state in self.servers.values_mut() {
+            state.informed.remove(&sidecar);
         }
     }
 
-    /// Adds work that a sidecar has sent to a server; the server's load, if it has started during the run.
+    /// Adds work that a sidecar has sent to a server. Returns the server's load; `None` if it has not started during
+    /// the run.
     pub(super) fn record(
         &mut self,
         now: Duration,
@@ -102,21 +103,21 @@
         server: usize,
         work: Duration,
         limits: &SlowStartLimits,
-    ) -> Option<ColdServerLoad> {
-        let cold = self.servers.get_mut(&server)?;
-        let age = now.saturating_sub(cold.started_at);
-        let informed = cold.informed.contains(&sidecar) || age > INFORMED_AFTER;
-        cold.recent.push_back(SentWork { at: now, work, informed });
-        while cold.recent.front().is_some_and(|sent| now - sent.at > limits.window) {
-            cold.recent.pop_front();
+    ) -> Option<SlowStartLoad> {
+        let state = self.servers.get_mut(&server)?;
+        let age = now.saturating_sub(state.started_at);
+        let informed = state.informed.contains(&sidecar) || age > INFORMED_AFTER;
+        state.recent.push_back(SentWork { at: now, work, informed });
+        while state.recent.front().is_some_and(|sent| now - sent.at > limits.window) {
+            state.recent.pop_front();
         }
         let capacity = limits.window.mul_f64(limits.concurrency as f64 * slow_start_speed(age));
-        Some(ColdServerLoad {
+        Some(SlowStartLoad {
             server,
             age,
-            total: cold.recent.iter().map(|sent| sent.work).sum(),
-            informed: cold.recent.iter().filter(|sent| sent.informed).map(|s| s.work).sum(),
-            budget: capacity.mul_f64(limits.multiple * CHANCE_FACTOR) + CHANCE_WORK,
+            total: state.recent.iter().map(|sent| sent.work).sum(),
+            informed: state.recent.iter().filter(|sent| sent.informed).map(|s| s.work).sum(),
+            budget: capacity.mul_f64(limits.multiple * VARIATION_FACTOR) + VARIATION_WORK,
         })
     }
 }
