--- a/crates/fakes/shim/faulty_calls.c
+++ b/crates/fakes/shim/faulty_calls.c
@@ -1,25 +1,25 @@
-/* Makes system calls of a program fail now and then, as their manual pages allow.
+/* Makes system calls of a program fail at random, with errors that their manual pages allow.
  *
- * Loaded with LD_PRELOAD into a program under test. FAULTY_CALLS tells how often, in thousandths, as
- * `name=number` pairs with commas between:
+ * Loaded with LD_PRELOAD into a program under test. FAULTY_CALLS sets the failure rates, in thousandths, as
+ * comma-separated `name=number` pairs:
  *
- *   seed       of everything that is drawn
- *   interrupt  EINTR from accept4, connect, recv, send and writev
- *   short      recv and send transfer a part of what they could
- *   abort      accept4 fails for the connection that it would return: ECONNABORTED, EPROTO, ENETDOWN
- *   accept     accept4 fails for want of something: ENFILE, ENOBUFS
+ *   seed       the seed of all random choices
+ *   interrupt  accept4, connect, recv, send and writev fail: EINTR
+ *   short      recv and send transfer fewer bytes than they could, writev only its first buffer
+ *   abort      accept4 fails because of the pending connection: ECONNABORTED, EPROTO, ENETDOWN
+ *   accept     accept4 fails for lack of resources: ENFILE, ENOBUFS
  *   socket     socket fails: ENFILE, ENOBUFS
  *   connect    connect fails: EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, EHOSTUNREACH
  *   break      recv fails on a connection that the program opened: ETIMEDOUT, EHOSTUNREACH, ECONNRESET;
- *              the connection is of no use from then on
+ *              the connection is unusable from then on
  *
- *   memory     recv, send and writev fail for want of buffers: ENOBUFS, ENOMEM
+ *   memory     recv, send and writev fail for lack of buffers: ENOBUFS, ENOMEM
  *   hold       the process is held up for 0.1 s before it shuts a connection down
- *   wait       the process is held up for 0.1 s once it has taken the events of epoll_wait
+ *   wait       the process is held up for 0.1 s after epoll_wait has returned its events
  *
  *   file       open, write and fsync fail for files whose path contains FAULTY_FILES: EIO, ENOSPC
  *
- * FAULTY_CLOCK names a file with a number of seconds, by which the wall clock is ahead. It is read at
+ * FAULTY_CLOCK names a file with the number of seconds by which the wall clock is ahead. It is read at
  * each call, so the clock can be stepped while the program runs.
  */
 #define _GNU_SOURCE
@@ -42,9 +42,9 @@
 #define THOUSAND 1000
 #define HOLD_MICROSECONDS (100 * 1000)
 
-/* Connections that the program opened itself. */
+/* The descriptors of connections that the program opened itself. */
 static atomic_bool outgoing[MAX_DESCRIPTORS];
-/* Files and directories whose calls fail. */
+/* The descriptors of files and directories on which calls fail. */
 static atomic_bool faulty_file[MAX_DESCRIPTORS];
 static atomic_uint_fast64_t random_state;
 
@@ -88,7 +88,7 @@
     rates.file = read_rate(text, "file");
 }
 
-/* The finalizer of splitmix64 over a counter. */
+/* Returns the next random number: the splitmix64 finalizer, applied to a counter. */
 static uint64_t draw(void)
 {
     uint64_t x = atomic_fetch_add(&random_state, 0x9e3779b97f4a7c15ull);
@@ -143,7 +143,7 @@
 int socket(int domain, int type, int protocol)
 {
     REAL(socket);
-    /* Listeners are made at the start, when a failure is an error of the start. */
+    /* Listening sockets are created at startup, where a failure ends the program: they are left alone. */
     if ((domain == AF_INET || domain == AF_INET6) && (type & SOCK_NONBLOCK) && happens(rates.socket))
         return FAIL(ENFILE, ENOBUFS);
     int made = real(domain, type, protocol);
@@ -268,7 +268,7 @@
 ssize_t write(int fd, const void *buffer, size_t length)
 {
     REAL(write);
-    /* A write that fails may have stored a part of what it got. */
+    /* A failing write may have stored a part of its data. */
     if (file_call_fails(fd)) {
         if (length > 1)
             real(fd, buffer, length / 2);
--- a/crates/fakes/src/account.rs
+++ b/crates/fakes/src/account.rs
@@ -1,5 +1,5 @@
-//! What became of every request: what each client was told, and what each server executed. Requests that were lost,
-//! duplicated or answered too late are counted here, by an observer that sees both sides.
+//! A record of every request as seen by both its client and the servers that received it. It counts requests that
+//! were lost, duplicated or answered too late.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,25 +18,26 @@
 #[cfg(test)]
 mod tests;
 
-/// The most violations that are kept in words.
+/// The maximum number of violations that are kept as text.
 const MAX_EXAMPLES: usize = 20;
-/// How long after a kill a process's connections may still end.
+/// The time after a kill within which the process's connections may still end.
 const KILL_GRACE: Duration = Duration::from_secs(3);
-/// How long after a process was resumed its requests may time out: the longest deadline, scaled.
+/// The time after a process was resumed within which its requests may time out: the longest deadline, scaled.
 const PAUSE_GRACE: Duration = Duration::from_secs(5);
-/// How long after the client's answer an attempt that was on its way may still arrive at a server.
+/// The time after the client's response within which an attempt in flight may still arrive at a server.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
-/// How long after its client has left a request may still be sent to a server by the protocol, and what a busy
-/// machine may add to that.
+/// The time after its client has left within which a request may still be sent to a server: the limit of the
+/// protocol, and an allowance for a busy machine.
 const LEAVE_GRACE: Duration = Duration::from_millis(100 + 250);
-/// How much longer than its client a server may be told to wait, and what a busy machine may add to that.
+/// The excess of the time left that a server is told over the time left for the client: the limit of the protocol,
+/// and an allowance for a busy machine.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150 + 250);
 /// The longest latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 1_000_000_000;
 /// The significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a server did with a request.
+/// An event of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
     /// The request arrived.
@@ -45,18 +46,19 @@
     Executed,
     /// The request was rejected and never executed.
     Rejected,
-    /// Its idempotency key had just been executed.
+    /// The request was not executed, because its idempotency key had recently been executed.
     Deduplicated,
 }
 
-/// A pause up to this length excuses no request: the protocol allows for 0.15 s, clients for their slack.
+/// Requests may not time out because of a pause up to this length: the protocol tolerates 0.15 s, and clients add
+/// their slack.
 const LONGEST_HARMLESS_PAUSE: Duration = Duration::from_millis(200);
 
-/// The time during which a process was paused on purpose.
+/// An interval during which a process was paused deliberately.
 struct Pause {
     target: SocketAddr,
     start: Instant,
-    /// When it was resumed; none: it is still paused.
+    /// The time at which it was resumed. `None` while it is paused.
     end: Option<Instant>,
 }
 
@@ -66,18 +68,18 @@
     last_operation: u64,
     /// By class, in microseconds.
     latencies: Vec<Histogram<u64>>,
-    /// Processes that were killed on purpose, and when.
+    /// Processes that were killed deliberately, and the time of the kill.
     kills: Vec<(SocketAddr, Instant)>,
     pauses: Vec<Pause>,
-    /// Requests may be held up on their way to servers, for any time.
+    /// Whether requests to servers may be delayed in transit by any time.
     transit_delays: bool,
-    /// They may arrive long after they were given up.
+    /// Whether requests may arrive long after their clients gave up.
     late_arrivals: bool,
-    /// The counts that need no operation. The others are made when a report is.
+    /// The counts that do not depend on the state of operations. `report` computes the others.
     counts: Report,
 }
 
-/// The account of all requests. It is shared by clients and servers.
+/// Records every request and what happened to it. Clients and servers share it.
 pub struct Account {
     classes: Vec<Class>,
     opened: Instant,
@@ -85,14 +87,14 @@
 }
 
 impl Account {
-    /// An empty account of requests of these classes.
+    /// Creates an empty account of requests of these classes.
     pub fn new(classes: Vec<Class>) -> Account {
         let latencies = vec![new_histogram(); classes.len()];
         let inner = Mutex::new(Inner { latencies, ..Inner::default() });
         Account { classes, opened: Instant::now(), inner }
     }
 
-    /// The classes.
+    /// Returns the request classes.
     pub fn classes(&self) -> &[Class] {
         &self.classes
     }
@@ -101,12 +103,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins an operation of a class (by its number), and returns its number.
+    /// Begins an operation of a class, given by index, and returns the operation's number.
     pub fn begin(&self, class: usize) -> u64 {
         self.begin_for_tenant(class, None)
     }
 
-    /// Begins an operation of a class for a tenant (by their numbers), and returns its number.
+    /// Begins an operation of a class for a tenant, both given by index, and returns the operation's number.
     pub fn begin_for_tenant(&self, class: usize, tenant: Option<usize>) -> u64 {
         let mut inner = self.lock();
         inner.last_operation += 1;
@@ -117,7 +119,7 @@
         number
     }
 
-    /// The next attempt of an operation.
+    /// Adds an attempt to an operation and returns its id.
     pub fn next_attempt(&self, operation: u64) -> AttemptId {
         let mut inner = self.lock();
         let attempts = inner.operations.get_mut(&operation).map(|o| &mut o.attempts);
@@ -128,7 +130,7 @@
         AttemptId { operation, number: number as u16 }
     }
 
-    /// Records how an attempt ended for its client, which had sent it to the sidecar at `target`.
+    /// Records the outcome that a client saw of an attempt, which it had sent to the sidecar at `target`.
     pub fn record_outcome(&self, id: AttemptId, outcome: Outcome, target: SocketAddr) {
         let now = Instant::now();
         let mut inner = self.lock();
@@ -138,7 +140,7 @@
             } else {
                 inner.counts.lost += 1;
                 let id = id.request_id();
-                inner.add_example(format!("{id} at {target}: ended without an answer"));
+                inner.add_example(format!("{id} at {target}: connection ended without a response"));
             }
         }
         let outcome = match outcome {
@@ -150,10 +152,10 @@
         };
         match outcome {
             Outcome::TimedOut => {
-                inner.add_example(format!("{} at {target}: Late", id.request_id()))
+                inner.add_example(format!("{} at {target}: timed out", id.request_id()))
             }
             Outcome::WrongBody => {
-                inner.add_example(format!("{} at {target}: Wrong", id.request_id()));
+                inner.add_example(format!("{} at {target}: wrong body", id.request_id()));
             }
             _ => {}
         }
@@ -177,15 +179,16 @@
         self.lock().counts.refused_connections += 1;
     }
 
-    /// Records that a new connection to a sidecar ended and nothing of its request was forwarded.
+    /// Records that a new connection to a sidecar ended without its request being forwarded.
     pub fn record_unread_connection(&self) {
         self.lock().counts.unread_connections += 1;
     }
 
-    /// Notes, in words, how a connection ended under a request.
+    /// Adds a text that says when a connection ended before the response to a request. `after` is the time since the
+    /// last byte of the request was written; `None` if not all of it was.
     pub fn note_connection_end(&self, id: AttemptId, target: SocketAddr, after: Option<Duration>) {
         let after = after
-            .map_or("before all of it was".to_owned(), |after| format!("{after:?} after it was"));
+            .map_or("before the request was".to_owned(), |after| format!("{after:?} after it was"));
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let (id, at_s) = (id.request_id(), unix.as_secs_f64());
         self.lock().add_example(format!(
@@ -193,17 +196,17 @@
         ));
     }
 
-    /// Records that a connection ended just as a request was written, which nobody has read.
+    /// Records that a connection ended while a request was being written, and that the request was not read.
     pub fn record_close_race(&self) {
         self.lock().counts.close_races += 1;
     }
 
-    /// Announces that the process at `target` is about to be killed, so that its requests may be lost.
+    /// Announces that the process at `target` is about to be killed: its requests may be lost.
     pub fn expect_kill(&self, target: SocketAddr) {
         self.lock().kills.push((target, Instant::now()));
     }
 
-    /// Announces that the process at `target` is about to be paused, so that its requests may time out.
+    /// Announces that the process at `target` is about to be paused: its requests may time out.
     pub fn expect_pause(&self, target: SocketAddr) {
         let mut inner = self.lock();
         if inner.open_pause(target).is_none() {
@@ -211,13 +214,13 @@
         }
     }
 
-    /// Announces that requests may be held up on their way to servers. What a request tells when it arrives, and when
-    /// that is, shows no longer what its sidecar did.
+    /// Announces that requests to servers may be delayed in transit. The time of a request's arrival, and the time
+    /// left that it states, are then no evidence of what the sidecar did.
     pub fn expect_transit_delays(&self) {
         self.lock().transit_delays = true;
     }
 
-    /// Announces that requests may even arrive long after they were given up.
+    /// Announces that requests may arrive long after their clients gave up.
     pub fn expect_late_arrivals(&self) {
         self.lock().late_arrivals = true;
     }
@@ -229,17 +232,17 @@
         }
     }
 
-    /// Whether the process at `target` was killed just now.
+    /// Returns whether the process at `target` was killed recently.
     pub fn was_killed(&self, target: SocketAddr) -> bool {
         self.lock().was_killed(target, Instant::now())
     }
 
-    /// Whether any server has received this attempt.
+    /// Returns whether any server has received this attempt.
     pub fn was_received(&self, id: AttemptId) -> bool {
         self.lock().attempt_mut(id).is_some_and(|attempt| attempt.received > 0)
     }
 
-    /// Records what a server did with the request that has this id.
+    /// Records an event of the request with this id at a server.
     pub fn record_server_event(&self, server: &str, request_id: &str, event: ServerEvent) {
         let now = Instant::now();
         let mut inner = self.lock();
@@ -247,37 +250,37 @@
         let attempt = AttemptId::parse(request_id).and_then(|id| inner.attempt_mut(id));
         let Some(attempt) = attempt else {
             inner.counts.unknown += 1;
-            inner.add_example(format!("{request_id} came to {server}, and no client has sent it"));
+            inner.add_example(format!("{request_id} arrived at {server}, but no client sent it"));
             return;
         };
         match event {
             ServerEvent::Received => {
                 attempt.received += 1;
                 let outcome = attempt.outcome;
-                inner.check_arrival(outcome, now, &format!("{request_id} came to {server}"));
+                inner.check_arrival(outcome, now, &format!("{request_id} arrived at {server}"));
             }
             ServerEvent::Executed => {
                 attempt.executed += 1;
-                attempt.add_step(format!("ran at {server}"), now - self.opened);
+                attempt.add_step(format!("executed at {server}"), now - self.opened);
             }
             ServerEvent::Rejected | ServerEvent::Deduplicated => {}
         }
     }
 
-    /// Records that a request has left its sidecar for a server. On links that delay, only this tells whether that
-    /// was too long after its client had left.
+    /// Records that a sidecar has sent a request to a server. On links with a delay, only this event shows whether
+    /// the request was sent too long after its client had left.
     pub fn record_departure(&self, server: &str, request_id: &str, now: Instant) {
         let mut inner = self.lock();
         let attempt = AttemptId::parse(request_id).and_then(|id| inner.attempt_mut(id));
         let Some(attempt) = attempt else { return };
-        attempt.add_step(format!("left for {server}"), now.saturating_duration_since(self.opened));
+        attempt.add_step(format!("sent to {server}"), now.saturating_duration_since(self.opened));
         let outcome = attempt.outcome;
         if inner.transit_delays {
-            inner.check_still_wanted(outcome, now, &format!("{request_id} left for {server}"));
+            inner.check_client_present(outcome, now, &format!("{request_id} was sent to {server}"));
         }
     }
 
-    /// Records how long a server was told that a client still waits.
+    /// Records the remaining time of the client that a request stated to a server.
     pub fn record_time_left(&self, server: &str, request_id: &str, time_left: Duration) {
         let now = Instant::now();
         let mut inner = self.lock();
@@ -287,19 +290,19 @@
         if time_left > left + TIME_LEFT_SLACK && !inner.transit_delays {
             inner.counts.excess_time_left += 1;
             let (told, left) = (time_left.as_millis(), left.as_millis());
-            inner
-                .add_example(format!("{request_id} told {server} {told} ms where {left} are left"));
+            inner.add_example(format!("{request_id} told {server} {told} ms left, of {left} ms"));
         }
     }
 
-    /// Records that a server was sent a request too long after it was listed as draining, or taken off the list.
+    /// Records that a server was sent a request too long after it was listed as draining, or removed from the list.
     pub fn record_late_drain(&self, server: &str, request_id: &str) {
         let mut inner = self.lock();
         inner.counts.sent_to_draining += 1;
-        inner.add_example(format!("{request_id} came to {server}, which drains or was removed"));
+        inner
+            .add_example(format!("{request_id} arrived at {server}, which is draining or removed"));
     }
 
-    /// The latencies of what was served since the last call, by class. Later reports are without them.
+    /// Takes the latencies of the operations served since the last call, by class. Later reports do not contain them.
     pub fn take_latencies(&self) -> Vec<ClassReport> {
         let mut inner = self.lock();
         let mut reports = Vec::new();
@@ -311,7 +314,7 @@
         reports
     }
 
-    /// The present state of the account. It is complete once all operations have ended.
+    /// Returns the current state of the account. It is complete once all operations have ended.
     pub fn report(&self) -> Report {
         let mut inner = self.lock();
         let mut report = inner.counts.clone();
@@ -354,10 +357,10 @@
         self.operations.get_mut(&id.operation)?.attempts.get_mut(usize::from(id.number))
     }
 
-    /// Counts an attempt that arrives at a server although nobody waits for it any more. `arrival` describes it.
+    /// Counts an attempt that arrives at a server after its client has stopped waiting. `arrival` describes the event.
     fn check_arrival(&mut self, outcome: Option<(Outcome, Instant)>, now: Instant, arrival: &str) {
         if !self.transit_delays {
-            self.check_still_wanted(outcome, now, arrival);
+            self.check_client_present(outcome, now, arrival);
         }
         match outcome {
             Some((outcome, at))
@@ -366,14 +369,14 @@
                     && !self.late_arrivals =>
             {
                 self.counts.after_answer += 1;
-                self.add_example(format!("{arrival} after its final answer"));
+                self.add_example(format!("{arrival} after its final response"));
             }
             _ => {}
         }
     }
 
-    /// Counts an attempt that is sent long after its client has left. `event` describes it.
-    fn check_still_wanted(
+    /// Counts an attempt that is sent too long after its client has left. `event` describes the event.
+    fn check_client_present(
         &mut self,
         outcome: Option<(Outcome, Instant)>,
         now: Instant,
@@ -391,13 +394,13 @@
         self.pauses.iter_mut().rev().find(|pause| pause.target == target && pause.end.is_none())
     }
 
-    /// Whether a process was killed so recently that its requests may be lost now.
+    /// Returns whether a process was killed so recently that its requests may be lost at `now`.
     fn was_killed(&self, target: SocketAddr, now: Instant) -> bool {
         let recent = |at: Instant| now.duration_since(at) < KILL_GRACE;
         self.kills.iter().any(|(killed, at)| *killed == target && recent(*at))
     }
 
-    /// Whether a process was paused while a request that times out now could have been with it.
+    /// Returns whether a process was paused while it could have had a request that times out at `now`.
     fn was_paused(&self, target: SocketAddr, now: Instant) -> bool {
         let earliest = now.checked_sub(PAUSE_GRACE).unwrap_or(now);
         let recent = |pause: &Pause| pause.end.is_none_or(|end| end > earliest);
@@ -446,7 +449,8 @@
     }
 }
 
-/// Adds what an operation that is not idempotent must not do.
+/// Adds the violations of an operation that is not idempotent: duplicate executions, and an execution after a
+/// rejection.
 fn add_violations(report: &mut Report, class: &Class, number: u64, operation: &Operation) {
     let executions = operation.executions();
     let duplicated = executions > 1;
@@ -457,16 +461,17 @@
     }
     if duplicated {
         let steps = operation.steps();
-        let example = format!("{number:012x} of {} ran {executions} times: {steps}", class.name);
+        let example =
+            format!("{number:012x} of {} executed {executions} times: {steps}", class.name);
         report.examples.push(example);
     }
     if operation.is_rejected_but_executed() {
         report.rejected_but_executed += 1;
-        report.examples.push(format!("{number:012x} of {} was refused, and ran", class.name));
+        report.examples.push(format!("{number:012x} of {} rejected but executed", class.name));
     }
 }
 
-/// A histogram of latencies in microseconds.
+/// Creates a histogram of latencies in microseconds.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
         .expect("bounds and digits in range")
--- a/crates/fakes/src/account/operation.rs
+++ b/crates/fakes/src/account/operation.rs
@@ -1,55 +1,56 @@
-//! Operations, their attempts, and how they ended.
+//! Operations, their attempts and outcomes.
 
 use std::time::{Duration, Instant};
 
-/// Whether a request may be sent again once it may have been executed.
+/// Whether a request may be sent again although it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Always.
+    /// It may always be sent again.
     Idempotent,
-    /// Within the group of servers that share idempotency keys, and for a limited time.
+    /// It may be sent again to a server that shares idempotency keys with the first one, for a limited time.
     Keyed,
-    /// Never.
+    /// It must not be sent again.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, which is the first segment of its paths.
+    /// The name of the class, which is the first segment of its paths.
     pub name: &'static str,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// Its share of all requests.
+    /// The share of this class in all requests.
     pub share: f64,
     /// The mean time that a server works on a request.
     pub service_time: Duration,
     /// The time within which requests should be answered.
     pub latency_objective: Duration,
-    /// The time after which clients give up.
+    /// The time after which clients give up a request.
     pub deadline: Duration,
 }
 
-/// One attempt of a client's operation. Both numbers are in the request id.
+/// The id of one attempt of a client's operation. The request id encodes both numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The operation.
+    /// The number of the operation.
     pub operation: u64,
-    /// The attempt, from 0.
+    /// The number of the attempt, from 0.
     pub number: u16,
 }
 
-/// The hexadecimal digits of the operation in a request id, and of the whole id.
+/// The number of hexadecimal digits of the operation in a request id.
 const OPERATION_DIGITS: usize = 12;
+/// The number of hexadecimal digits of a request id.
 const ID_DIGITS: usize = 16;
 
 impl AttemptId {
-    /// The request id.
+    /// Returns the request id.
     pub fn request_id(self) -> String {
         format!("{:012x}{:04x}", self.operation, self.number)
     }
 
-    /// The attempt that has this request id.
+    /// Parses a request id. Returns `None` if it is malformed.
     pub fn parse(request_id: &str) -> Option<AttemptId> {
         if request_id.len() != ID_DIGITS || !request_id.is_ascii() {
             return None;
@@ -62,65 +63,65 @@
     }
 }
 
-/// How one attempt ended for its client.
+/// The outcome of an attempt for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Status 200 with the expected body.
     Served,
-    /// Status 429 or 503: a retry does no harm.
+    /// Status 429 or 503: a retry is safe.
     Rejected,
-    /// Any other answer.
+    /// Any other response.
     Failed,
-    /// No answer within the deadline and the slack.
+    /// No response within the deadline and the slack.
     TimedOut,
-    /// The client gave up before its time was over, and closed the connection.
+    /// The client gave up before its deadline and closed the connection.
     Left,
-    /// The connection ended without a complete answer after the request had been accepted.
+    /// The connection ended without a complete response after the request had been accepted.
     Lost,
     /// Status 200 with another body.
     WrongBody,
 }
 
-/// The most steps of an attempt that are kept.
+/// The maximum number of steps that are kept of an attempt.
 const MAX_STEPS: usize = 8;
 
-/// What happened to an attempt, where and when.
+/// An event in the course of an attempt, with its place and time.
 pub(super) struct Step {
-    /// In words: `left for server 3`, `ran at utrecht-1`.
-    pub what: String,
-    /// Since the account was opened.
+    /// A description: `sent to server 3`, `executed at utrecht-1`.
+    pub description: String,
+    /// The time since the account was opened.
     pub at: Duration,
 }
 
-/// What the account knows of an attempt.
+/// The record of an attempt.
 #[derive(Default)]
 pub(super) struct Attempt {
-    /// How it ended, and when.
+    /// The outcome and its time. `None` while the attempt is open.
     pub outcome: Option<(Outcome, Instant)>,
-    /// How often servers received it.
+    /// The number of times that servers received it.
     pub received: u16,
-    /// How often servers executed it.
+    /// The number of times that servers executed it.
     pub executed: u16,
-    /// Its way to servers, for findings.
+    /// Its path through the system, for the texts of violations.
     steps: Vec<Step>,
 }
 
 impl Attempt {
-    /// Keeps a step, unless there are many.
-    pub fn add_step(&mut self, what: String, at: Duration) {
+    /// Adds a step, unless [`MAX_STEPS`] are kept already.
+    pub fn add_step(&mut self, description: String, at: Duration) {
         if self.steps.len() < MAX_STEPS {
-            self.steps.push(Step { what, at });
+            self.steps.push(Step { description, at });
         }
     }
 }
 
-/// What the account knows of an operation.
+/// The record of an operation.
 pub(super) struct Operation {
-    /// The number of its class.
+    /// The index of its class.
     pub class: usize,
-    /// The number of its tenant, where clients tell it.
+    /// The index of its tenant. `None` if clients do not name one.
     pub tenant: Option<usize>,
-    /// When its client gives up.
+    /// The time at which its client gives up.
     pub deadline: Instant,
     /// Its attempts, in their order.
     pub attempts: Vec<Attempt>,
@@ -129,25 +130,26 @@
 }
 
 impl Operation {
-    /// How its last answered attempt ended.
+    /// Returns the outcome of its last attempt that has ended.
     pub fn last_outcome(&self) -> Option<Outcome> {
         let outcomes = self.attempts.iter().rev();
         outcomes.filter_map(|attempt| attempt.outcome).map(|(outcome, _)| outcome).next()
     }
 
-    /// How often servers executed it.
+    /// Returns the number of times that servers executed it.
     pub fn executions(&self) -> u64 {
         self.attempts.iter().map(|attempt| u64::from(attempt.executed)).sum()
     }
 
-    /// The ways of all of its attempts, in words.
+    /// Returns the steps of all of its attempts as text.
     pub fn steps(&self) -> String {
         let steps = self.attempts.iter().flat_map(|attempt| &attempt.steps);
-        let words = steps.map(|Step { what, at }| format!("{what} at {:.3} s", at.as_secs_f64()));
-        words.collect::<Vec<_>>().join(", ")
+        let texts = steps
+            .map(|Step { description, at }| format!("{description} at {:.3} s", at.as_secs_f64()));
+        texts.collect::<Vec<_>>().join(", ")
     }
 
-    /// Whether an attempt was executed though its client was told that it was rejected.
+    /// Returns whether an attempt was executed although its client received a rejection.
     pub fn is_rejected_but_executed(&self) -> bool {
         let rejected = |a: &Attempt| matches!(a.outcome, Some((Outcome::Rejected, _)));
         self.attempts.iter().any(|attempt| attempt.executed > 0 && rejected(attempt))
--- a/crates/fakes/src/account/report.rs
+++ b/crates/fakes/src/account/report.rs
@@ -1,11 +1,11 @@
-//! The account in figures. The stored names are those of the JSON that earlier versions printed.
+//! The figures of an account. The serialized names are part of the format of stored journals and must not change.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// The operations of one class by how they ended. Latencies are from the first attempt to the answer, of the served
-/// ones.
+/// The operations of one class by outcome. Latencies are those of served operations, from the first attempt to the
+/// response.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassReport {
     /// The name of the class.
@@ -13,7 +13,7 @@
     /// All operations.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Operations without any answer yet.
+    /// Operations without an outcome yet.
     pub open: u64,
     /// Operations that were served.
     pub served: u64,
@@ -22,10 +22,10 @@
     pub rejected: u64,
     /// Operations whose last attempt failed.
     pub failed: u64,
-    /// Operations whose last attempt got no answer in time.
+    /// Operations whose last attempt got no response in time.
     #[serde(rename = "late")]
     pub timed_out: u64,
-    /// Operations whose connection ended without an answer.
+    /// Operations whose connection ended without a response.
     pub lost: u64,
     /// The median latency in milliseconds.
     pub p50_ms: f64,
@@ -35,7 +35,7 @@
     pub max_ms: f64,
 }
 
-/// The operations of one tenant by how they ended.
+/// The operations of one tenant by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TenantReport {
     /// All operations.
@@ -48,11 +48,11 @@
     /// Operations whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Operations whose last attempt failed or got no answer.
+    /// Operations whose last attempt failed or got no response.
     pub failed: u64,
 }
 
-/// What one server did.
+/// The requests at one server by event.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServerReport {
     /// Requests that arrived.
@@ -64,31 +64,31 @@
     /// Requests that were rejected without being executed.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// Requests with an idempotency key that had just been executed.
+    /// Requests that were not executed, because their idempotency key had recently been executed.
     #[serde(rename = "dropped")]
     pub deduplicated: u64,
 }
 
-/// What became of all requests.
+/// The figures of all requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// By class.
+    /// The operations by class.
     pub classes: Vec<ClassReport>,
-    /// By tenant, where clients tell theirs.
+    /// The operations by tenant, if clients name theirs.
     pub tenants: Vec<TenantReport>,
-    /// By server.
+    /// The requests by server.
     pub servers: BTreeMap<String, ServerReport>,
-    /// Attempts of clients.
+    /// Attempts that clients made.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Requests that were accepted, and whose connection ended without an answer.
+    /// Requests that were accepted, but whose connection ended without a response.
     pub lost: u64,
-    /// The same at a process that was killed on purpose.
+    /// Requests lost at a process that was killed deliberately.
     pub lost_by_kill: u64,
-    /// Operations without an answer in time.
+    /// Operations without a response in time.
     #[serde(rename = "late")]
     pub timed_out: u64,
-    /// The same at a process that was paused on purpose. These count as failed.
+    /// Requests that timed out at a process that was paused deliberately. They count as failed.
     #[serde(rename = "late_by_stall")]
     pub timed_out_by_pause: u64,
     /// Operations that are not idempotent and were executed more than once.
@@ -97,62 +97,62 @@
     /// Operations with an idempotency key that were executed more than once.
     #[serde(rename = "doubled_uploads")]
     pub duplicated_keyed: u64,
-    /// Operations that were rejected though an attempt had been executed.
+    /// Operations that were rejected although an attempt had been executed.
     #[serde(rename = "refused_but_ran")]
     pub rejected_but_executed: u64,
-    /// Attempts that arrived at a server after the final answer.
+    /// Attempts that arrived at a server after the final response.
     #[serde(rename = "after_the_end")]
     pub after_answer: u64,
     /// Attempts that arrived at a server after their client had left.
     #[serde(skip_serializing_if = "is_zero")]
     pub after_leaving: u64,
-    /// Attempts whose server was told that the client waits for longer than it does.
+    /// Attempts that told a server a longer time left than the client had.
     #[serde(skip_serializing_if = "is_zero")]
     pub excess_time_left: u64,
     /// Attempts that arrived at a server long after it was listed as draining.
     #[serde(skip_serializing_if = "is_zero")]
     pub sent_to_draining: u64,
-    /// Answers with status 200 and another body.
+    /// Responses with status 200 and an unexpected body.
     #[serde(rename = "wrong")]
     pub wrong_body: u64,
-    /// Requests at servers that no client has sent.
+    /// Requests that arrived at servers but that no client sent.
     #[serde(rename = "strangers")]
     pub unknown: u64,
     /// Connections to sidecars that were refused.
     pub refused_connections: u64,
-    /// New connections to sidecars that ended with nothing forwarded. Their requests have failed.
+    /// New connections to sidecars that ended before their request was forwarded. These requests count as failed.
     #[serde(rename = "unread")]
     pub unread_connections: u64,
-    /// Requests that were written while their connection was being closed, and were sent once more.
+    /// Requests that were written while their connection was being closed, and were sent again.
     #[serde(rename = "crossed")]
     pub close_races: u64,
-    /// Some of the violations, in words.
+    /// Texts that describe some of the violations.
     pub examples: Vec<String>,
 }
 
-/// Whether a count is left out: readers of earlier journals do not know it.
+/// Returns whether a count is omitted from the JSON. Programs that read older journals do not know the field.
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
 
 impl Report {
-    /// All operations.
+    /// Returns the number of all operations.
     pub fn requested(&self) -> u64 {
         self.classes.iter().map(|class| class.requested).sum()
     }
 
-    /// All operations that were served.
+    /// Returns the number of served operations.
     pub fn served(&self) -> u64 {
         self.classes.iter().map(|class| class.served).sum()
     }
 
-    /// The number of rules that were broken. What is lost with a killed process is none, and refused connections count
-    /// only where the caller counts them.
+    /// Returns the number of violations. Requests lost with a killed process are none, and refused connections are
+    /// left to the caller.
     pub fn violations(&self) -> u64 {
         self.violation_counts().iter().map(|(_, count)| count).sum()
     }
 
-    /// The same by what was broken.
+    /// Returns the numbers of violations by kind.
     pub fn violation_counts(&self) -> [(&'static str, u64); 11] {
         [
             ("lost", self.lost),
--- a/crates/fakes/src/account/tests.rs
+++ b/crates/fakes/src/account/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the account.
+//! Tests of the account of requests.
 
 use super::*;
 
--- a/crates/fakes/src/clients.rs
+++ b/crates/fakes/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: requests at random times that do not wait for each other, each with a deadline and retries, on reused
-//! connections.
+//! Fake clients. They send requests at random times, independently of each other, each with a deadline and retries,
+//! on reused connections.
 
 mod idle;
 
@@ -23,18 +23,18 @@
 use crate::account::{Account, AttemptId, Class, Idempotency, Outcome};
 use crate::wire::{Message, Reader};
 
-/// How often an attempt is sent, if its first connection is closed before it is read.
+/// The maximum number of times an attempt is sent, if connections are closed before the request is read.
 const MAX_SENDS: usize = 2;
-/// How long after its last byte was written the connection of a request may end because the two passed each
-/// other: the way of a packet on this machine, and what a busy one may add. One that ends later has lost it.
+/// The time after the last byte of a request within which an end of its connection is a crossing: the transit time
+/// on loopback, and an allowance for a busy machine. If the connection ends later, the request is lost.
 const CROSSING_TIME: Duration = Duration::from_millis(20);
 /// The pause before the first retry without Retry-After, in milliseconds; it doubles with each retry.
 const FIRST_BACKOFF_MS: u64 = 50;
-/// A longer Retry-After is ignored, in seconds.
+/// The longest Retry-After that is respected, in seconds. Longer ones are ignored.
 const MAX_RETRY_AFTER_S: f64 = 60.0;
-/// A client that leaves waits for the share of its deadline that is a random number to this power: half of them leave
-/// within an eighth, while most requests are under way.
-const PATIENCE_EXPONENT: i32 = 3;
+/// A client that leaves early does so after a share of its deadline that is a uniform random number to this power:
+/// half of them leave within an eighth of the deadline, while most requests are in progress.
+const LEAVE_SHARE_EXPONENT: i32 = 3;
 /// The body of requests that have one.
 const BODY: &str = "four";
 
@@ -45,21 +45,21 @@
     pub rate: f64,
     /// Retries after the first attempt.
     pub retries: u16,
-    /// How long after its deadline an answer still counts: the time that the machine itself may take.
+    /// The time after the deadline within which a response still counts: an allowance for the machine's own delays.
     pub slack: Duration,
-    /// The share of the operations whose client leaves at a random moment, with its connection.
+    /// The share of the operations whose client gives up at a random time and closes its connection.
     pub leave_share: f64,
-    /// Connections that are held open without a request, each for a random time up to 1.5 s.
+    /// The number of connections that are held open without a request, each for a random time up to 1.5 s.
     pub silent_connections: usize,
-    /// Connections whose client rests after each answer, for about as long as a sidecar keeps an idle one.
+    /// The number of connections whose client pauses after each response, for about the idle timeout of a sidecar.
     pub resting_connections: usize,
-    /// How long an idle connection is kept open.
+    /// The time for which an idle connection is kept open.
     pub idle_timeout: Duration,
     /// The names of the tenants.
     pub tenants: Vec<String>,
-    /// The tenants' shares of the requests; without any, they are equal.
+    /// The tenants' shares of the requests. If empty, they are equal.
     pub shares: Vec<f64>,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Load {
-    /// The number of a random tenant, if there are any.
+    /// Draws the index of a tenant. `None` without tenants.
     fn draw_tenant(&self, rng: &mut SmallRng) -> Option<usize> {
         let last = self.tenants.len().checked_sub(1)?;
         if self.shares.is_empty() {
@@ -104,34 +104,34 @@
     since: Instant,
 }
 
-/// An operation under way.
+/// An operation in progress.
 struct Operation {
     class: Class,
     tenant: Option<usize>,
     idempotency_key: u64,
     deadline: Instant,
-    /// When its client leaves, if it does not wait.
+    /// The time at which its client gives up early. `None` if it waits for the deadline.
     leaves_at: Option<Instant>,
 }
 
-/// How one exchange of a request and an answer ended.
+/// The result of sending a request and waiting for its response.
 enum Exchange {
     Answered(Message, Reader<TcpStream>),
     /// The connection was refused.
     Refused,
-    /// The connection ended before any part of an answer.
+    /// The connection ended before any part of a response.
     Closed {
         /// Whether the connection had served a request before.
         reused: bool,
-        /// How long after the last byte of the request was written; none if not all of it was.
+        /// The time since the last byte of the request was written. `None` if not all of it was.
         after: Option<Duration>,
     },
-    /// The connection ended within an answer.
+    /// The connection ended within a response.
     Truncated,
     TimedOut,
 }
 
-/// Sends load to the sidecar at `target` until `stop` is true, and then waits for the open requests.
+/// Sends load to the sidecar at `target` until `stop` is true, and then waits for the requests in progress.
 pub async fn drive(
     target: SocketAddr,
     account: Arc<Account>,
@@ -151,7 +151,7 @@
     let mut open = JoinSet::new();
     let mut next = tokio::time::Instant::now();
     loop {
-        // The times between arrivals are exponential: a Poisson process.
+        // Exponential times between arrivals make a Poisson process.
         next += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / client.load.rate);
         tokio::select! {
             biased;
@@ -160,25 +160,26 @@
         }
         let (class, tenant) = (client.draw_class(&mut rng), client.load.draw_tenant(&mut rng));
         let leaves = rng.random_bool(client.load.leave_share.clamp(0.0, 1.0));
-        let patience = leaves.then(|| rng.random::<f64>().powi(PATIENCE_EXPONENT));
-        open.spawn(client.clone().run_operation(class, tenant, rng.random(), patience));
+        let leave_share = leaves.then(|| rng.random::<f64>().powi(LEAVE_SHARE_EXPONENT));
+        open.spawn(client.clone().run_operation(class, tenant, rng.random(), leave_share));
         while open.try_join_next().is_some() {}
     }
     while open.join_next().await.is_some() {}
     while resting.join_next().await.is_some() {}
 }
 
-/// What waits to be read on a connection, asked of the system itself: the event queue may not have told yet.
+/// Returns the number of bytes that can be read from a socket, by a system call: tokio may not have processed the
+/// readiness event yet.
 fn peek(socket: &TcpStream) -> io::Result<usize> {
     SockRef::from(socket).peek(&mut [MaybeUninit::uninit()])
 }
 
-/// Whether a connection is open and has nothing to read.
+/// Returns whether a connection is open and has nothing to read.
 fn is_idle(socket: &TcpStream) -> bool {
     matches!(peek(socket), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether it can be seen that a connection has ended.
+/// Returns whether a connection is known to have ended.
 fn has_ended(socket: &TcpStream) -> bool {
     match peek(socket) {
         Ok(bytes) => bytes == 0,
@@ -186,7 +187,7 @@
     }
 }
 
-/// The number of a random one of several, each with the probability of its share.
+/// Draws an index with probability proportional to its share.
 fn draw_by_share(shares: impl Iterator<Item = f64> + Clone, rng: &mut SmallRng) -> usize {
     let mut point = rng.random_range(0.0..shares.clone().sum::<f64>().max(f64::MIN_POSITIVE));
     for (n, share) in shares.enumerate() {
@@ -203,18 +204,19 @@
         draw_by_share(self.account.classes().iter().map(|class| class.share), rng)
     }
 
+    /// Runs an operation with its retries. With `leave_share`, the client gives up after that share of the deadline.
     async fn run_operation(
         self: Arc<Client>,
         class: usize,
         tenant: Option<usize>,
         idempotency_key: u64,
-        patience: Option<f64>,
+        leave_share: Option<f64>,
     ) {
         let number = self.account.begin_for_tenant(class, tenant);
         let class = self.account.classes()[class].clone();
         let started = Instant::now();
         let deadline = started + class.deadline;
-        let leaves_at = patience.map(|share| started + class.deadline.mul_f64(share));
+        let leaves_at = leave_share.map(|share| started + class.deadline.mul_f64(share));
         let operation = Operation { class, tenant, idempotency_key, deadline, leaves_at };
         for n in 0..=self.load.retries {
             let id = self.account.next_attempt(number);
@@ -237,14 +239,14 @@
         }
     }
 
-    /// One attempt, and the Retry-After of its answer. It is sent again only if its connection was closed before the
-    /// request was read.
+    /// Makes one attempt. Returns its outcome and the Retry-After of its response. The request is sent again only if
+    /// its connection was closed before the request was read.
     async fn attempt(&self, id: AttemptId, operation: &Operation) -> (Outcome, Option<Duration>) {
         for sends in 0..MAX_SENDS {
             let request = self.request(id, operation);
             let limit = operation.deadline + self.load.slack;
             let limit = operation.leaves_at.map_or(limit, |leaves_at| leaves_at.min(limit));
-            // What crossed the end of its connection is sent once more on a new one.
+            // A request that crossed the close of its connection is sent again on a new one.
             let kept = if sends == 0 { self.reuse_connection() } else { None };
             match self.exchange(kept, request.as_bytes(), limit).await {
                 Exchange::Answered(message, reader) => return self.answered(id, &message, reader),
@@ -258,9 +260,10 @@
                     return (Outcome::Rejected, None);
                 }
                 Exchange::Closed { reused, after } => {
-                    // Otherwise it ended before all was written, or the two passed each other on their way.
+                    // The connection ended before the whole request was written, or the close and the request
+                    // crossed in transit.
                     let crossed = after.is_none_or(|after| after < CROSSING_TIME);
-                    // A process that was killed may have forwarded it just before.
+                    // A killed process may have forwarded the request just before the kill.
                     let may_be_forwarded =
                         self.account.was_received(id) || self.account.was_killed(self.target);
                     if may_be_forwarded || !crossed {
@@ -302,7 +305,7 @@
         )
     }
 
-    /// The outcome of an answer, and its Retry-After. Keeps the connection if the answer allows that.
+    /// Returns the outcome that a response means, and its Retry-After. Keeps the connection if the response allows it.
     fn answered(
         &self,
         id: AttemptId,
@@ -327,10 +330,10 @@
         self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A kept connection that is still open.
+    /// Takes an idle connection that is still open.
     fn reuse_connection(&self) -> Option<Reader<TcpStream>> {
         let mut idle = self.idle();
-        // A connection that its peer has closed is not written to.
+        // Connections that the peer has closed are not reused.
         idle.retain(|connection| {
             let fresh = connection.since.elapsed() < self.load.idle_timeout;
             fresh && is_idle(connection.reader.get_ref())
@@ -338,7 +341,7 @@
         idle.pop().map(|connection| connection.reader)
     }
 
-    /// Sends a request on a kept connection or, without one, on a new one.
+    /// Sends a request on the idle connection `kept`, or else on a new one, and waits for the response until `limit`.
     async fn exchange(
         &self,
         kept: Option<Reader<TcpStream>>,
@@ -363,15 +366,15 @@
             if reader.get_mut().write_all(request).await.is_err() {
                 return Exchange::Closed { reused, after: None };
             }
-            // On this machine what was written before the end is in the peer's socket before it. An end that
-            // can be seen now came first.
+            // On loopback, written data is in the peer's socket at once. If the end of the connection is visible
+            // now, the peer closed it before the request arrived.
             if has_ended(reader.get_ref()) {
                 return Exchange::Closed { reused, after: None };
             }
             let written = Instant::now();
             match reader.next().await {
                 Ok(Some(message)) => Exchange::Answered(message, reader),
-                // A partial answer shows that the request was accepted.
+                // A partial response shows that the request was accepted.
                 Err(_) if reader.has_partial_message() => Exchange::Truncated,
                 Ok(None) | Err(_) => Exchange::Closed { reused, after: Some(written.elapsed()) },
             }
--- a/crates/fakes/src/clients/idle.rs
+++ b/crates/fakes/src/clients/idle.rs
@@ -1,4 +1,4 @@
-//! Clients whose connections are idle for most of the time: silent ones, and those that rest between requests.
+//! Clients whose connections are idle for most of the time: silent ones, and ones that pause between requests.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -14,16 +14,17 @@
 use super::{Client, IdleConnection, Load};
 use crate::wire::Reader;
 
-/// How long a silent connection is held at most, and how long after its end the next one is opened.
+/// The longest time for which a silent connection is held open.
 const SILENT_TIME: Duration = Duration::from_millis(1500);
+/// The time between the end of a silent connection and the next one.
 const SILENT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a resting client rests: a sidecar ends idle connections after 2.5 s, and the request is to arrive
-/// around that time.
+/// The pause of a resting client between requests: a sidecar closes idle connections after 2.5 s, and the next request
+/// should arrive around that time.
 pub const REST_TIME: Range<Duration> = Duration::from_millis(2400)..Duration::from_millis(2510);
-/// The probability that a resting client connects first and rests before its first request.
+/// The probability that a resting client opens a connection and pauses before its first request.
 const REST_BEFORE_FIRST_PROBABILITY: f64 = 0.3;
 
-/// Opens one connection after the other and sends nothing; never ends.
+/// Opens one connection after another without sending anything. Never returns.
 pub(super) async fn hold_silent_connections(target: SocketAddr, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     loop {
@@ -40,8 +41,8 @@
 }
 
 impl Client {
-    /// Sends one request after the other on a connection of its own, and rests between them, until `stop` is
-    /// true. A connection that is seen to be closed is replaced.
+    /// Sends one request after another on a connection of its own, with pauses in between, until `stop` is true. A
+    /// connection that is found closed is replaced.
     pub(super) async fn rest_between_requests(
         self: Arc<Client>,
         seed: u64,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Opens a connection for the next request, unless there is one.
+    /// Opens a connection for the next request, unless an idle one exists.
     async fn connect_ahead(&self) {
         if !self.idle().is_empty() {
             return;
--- a/crates/fakes/src/faulty_calls.rs
+++ b/crates/fakes/src/faulty_calls.rs
@@ -1,7 +1,7 @@
-//! System calls of a program under test that fail now and then, and a wall clock that can be stepped.
+//! Injects failures into the system calls of a program under test, and steps its wall clock.
 //!
 //! A small library, `shim/faulty_calls.c`, is compiled by the system's C compiler and loaded into the program
-//! with `LD_PRELOAD`. The program itself is the one that is delivered.
+//! with `LD_PRELOAD`. The program itself is the unmodified release program.
 
 use std::fmt::{self, Display, Formatter};
 use std::io::{self, Write};
@@ -11,36 +11,37 @@
 
 use crate::program::directory;
 
-/// The source of the library.
+/// The C source of the library.
 const SOURCE: &str = include_str!("../shim/faulty_calls.c");
 
-/// How often calls fail, in thousandths.
+/// The failure rates of system calls, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultRates {
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u32,
-    /// `EINTR` from accepting, connecting, reading and writing.
+    /// Accepting, connecting, reading and writing fail with `EINTR`.
     pub interrupted: u32,
-    /// Reads and writes that transfer a part of what they could.
+    /// Reads and writes transfer fewer bytes than they could.
     pub short: u32,
-    /// Accepting fails for the connection that waits: `ECONNABORTED`, `EPROTO`, `ENETDOWN`.
+    /// Accepting fails because of the pending connection: `ECONNABORTED`, `EPROTO`, `ENETDOWN`.
     pub aborted: u32,
-    /// Accepting fails for want of something: `ENFILE`, `ENOBUFS`.
+    /// Accepting fails for lack of resources: `ENFILE`, `ENOBUFS`.
     pub accept: u32,
-    /// No socket for an outgoing connection: `ENFILE`, `ENOBUFS`.
+    /// Creating the socket of an outgoing connection fails: `ENFILE`, `ENOBUFS`.
     pub socket: u32,
     /// Connecting fails: `EADDRNOTAVAIL`, `ENETUNREACH`, `ECONNREFUSED`, `EHOSTUNREACH`.
     pub connect: u32,
-    /// Reading from an outgoing connection fails, for good: `ETIMEDOUT`, `EHOSTUNREACH`, `ECONNRESET`.
+    /// Reading from an outgoing connection fails, and the connection is unusable from then on: `ETIMEDOUT`,
+    /// `EHOSTUNREACH`, `ECONNRESET`.
     pub broken: u32,
-    /// Reading and writing fails for want of buffers: `ENOBUFS`, `ENOMEM`.
+    /// Reading and writing fail for lack of buffers: `ENOBUFS`, `ENOMEM`.
     pub memory: u32,
     /// The process is held up for 0.1 s before it shuts a connection down.
     pub hold: u32,
-    /// The process is held up for 0.1 s once it has taken the events of `epoll_wait`.
+    /// The process is held up for 0.1 s after `epoll_wait` has returned its events.
     pub wait: u32,
-    /// Opening, writing and syncing of files fails (`EIO`, `ENOSPC`) whose path contains a text that
-    /// [`environment_for_files`] is given.
+    /// Opening, writing and syncing fail (`EIO`, `ENOSPC`) for files whose path contains the text passed to
+    /// [`environment_for_files`].
     pub file: u32,
 }
 
@@ -68,14 +69,14 @@
     }
 }
 
-/// Why the library cannot be had.
+/// The library could not be built.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ShimError {
-    /// The compiler could not be run, or the library not be put in place.
+    /// The compiler could not be run, or the library could not be written.
     #[error("cc: {0}")]
     Io(Arc<io::Error>),
     /// The compiler reported a failure.
-    #[error("cc could not compile the library of faulty calls")]
+    #[error("cc failed to compile shim/faulty_calls.c")]
     Compiler,
 }
 
@@ -85,18 +86,18 @@
     }
 }
 
-/// The path of the library, which is compiled once in the life of a process.
+/// Returns the path of the library, which is compiled once per process.
 ///
 /// # Errors
 ///
-/// When it cannot be compiled.
+/// When the library cannot be compiled.
 pub fn library() -> Result<PathBuf, ShimError> {
     static LIBRARY: OnceLock<Result<PathBuf, ShimError>> = OnceLock::new();
     LIBRARY.get_or_init(|| compile(&directory())).clone()
 }
 
-/// Compiles the library under a name of this process's own and renames it: several processes may do so at the
-/// same time.
+/// Compiles the library to a file name that is unique to this process and renames it, because several processes may
+/// compile it at the same time.
 fn compile(directory: &Path) -> Result<PathBuf, ShimError> {
     let library = directory.join("libfaulty_calls.so");
     let own = directory.join(format!("libfaulty_calls-{}.so", std::process::id()));
@@ -115,8 +116,8 @@
     Ok(library)
 }
 
-/// The variables that a program is started with for its calls to fail at these rates, and its wall clock to be
-/// ahead by the number of seconds in the file `clock`.
+/// Returns the environment variables that make a program's calls fail at these rates, and set its wall clock ahead by
+/// the number of seconds in the file `clock`.
 ///
 /// # Errors
 ///
@@ -131,7 +132,7 @@
     Ok(variables)
 }
 
-/// The same for calls on the files whose path contains `text`.
+/// Like [`environment`], without a clock file, and with faults on files whose path contains `text`.
 ///
 /// # Errors
 ///
--- a/crates/fakes/src/lag_watch.rs
+++ b/crates/fakes/src/lag_watch.rs
@@ -1,5 +1,5 @@
-//! How late the tasks of the fakes' runtime are: what the machine itself adds to every time that clients, discovery,
-//! relays and servers take. It excuses nothing, and stands beside findings.
+//! Measures the scheduling delay of the fakes' runtime, which adds to every time that clients, discovery, relays and
+//! servers measure. It is reported next to findings and does not invalidate them.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,40 +8,40 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How often a task looks at the clock.
+/// The time between two measurements.
 const INTERVAL: Duration = Duration::from_millis(5);
 
-/// The longest time by which a task was late, and when.
+/// The longest scheduling delay of a task, and its time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LongestLag {
-    /// How late it was.
+    /// The delay.
     pub lag: Duration,
-    /// When it went on, since the Unix epoch.
+    /// The time at which the task ran, since the Unix epoch.
     pub at: Duration,
 }
 
 impl fmt::Display for LongestLag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (lag_ms, at_s) = (self.lag.as_millis(), self.at.as_secs_f64());
-        write!(f, "tasks of this program were up to {lag_ms} ms late, at {at_s:.3} (Unix time)")
+        write!(f, "tasks of this program ran up to {lag_ms} ms late, at {at_s:.3} (Unix time)")
     }
 }
 
-/// Watches from its start to its end.
+/// Measures the scheduling delay from its start until it is dropped.
 pub struct LagWatch {
     longest: Arc<Mutex<LongestLag>>,
     task: JoinHandle<()>,
 }
 
 impl LagWatch {
-    /// Starts watching the runtime of clients, relays and servers.
+    /// Starts measuring the runtime of clients, relays and servers.
     pub fn start() -> LagWatch {
         let longest = Arc::<Mutex<LongestLag>>::default();
         let task = crate::runtime().spawn(watch(longest.clone()));
         LagWatch { longest, task }
     }
 
-    /// The longest lag so far.
+    /// Returns the longest delay so far.
     pub fn longest(&self) -> LongestLag {
         *self.longest.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fakes of everything that a sidecar talks to (log servers, discovery, clients) on loopback sockets, and the account
-//! of what became of every request.
+//! Fakes of the peers of a sidecar (log servers, discovery, clients) on loopback sockets, and an account of every
+//! request.
 //!
-//! They are written from the description of the protocol alone and use none of the sidecar's code, so that they do
-//! not share its misreadings. They are for tests and tools: ports are chosen by the system, waiting is for events
-//! with deadlines far beyond what any machine needs, and random choices depend on a seed.
+//! They implement the specification of the protocol without any code of the sidecar, so that they do not share its
+//! misinterpretations. They are for tests and tools: the system chooses the ports, waits are for events with
+//! generous deadlines, and random choices depend on a seed.
 
 pub mod account;
 pub mod clients;
@@ -20,14 +20,14 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// The time within which everything that a test waits for must happen.
+/// The default timeout for anything that a test waits for.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 /// The time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The threads of the shared runtime.
+/// The number of threads of the shared runtime.
 const RUNTIME_THREADS: usize = 2;
 
-/// Waits until `condition` holds. `what` describes it.
+/// Waits until `condition` holds. `what` describes the condition.
 ///
 /// # Panics
 ///
@@ -36,7 +36,7 @@
     until_in(PATIENCE, what, condition);
 }
 
-/// The same with another timeout.
+/// Like [`until`], with another timeout.
 ///
 /// # Panics
 ///
@@ -44,16 +44,16 @@
 pub fn until_in(timeout: Duration, what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + timeout;
     while !condition() {
-        assert!(Instant::now() < deadline, "in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The runtime of fakes that are started from a plain thread.
+/// Returns the shared runtime of fakes that are started outside of a tokio runtime.
 ///
 /// # Panics
 ///
-/// When the system refuses its threads.
+/// When its threads cannot be started.
 pub fn runtime() -> &'static tokio::runtime::Handle {
     static RUNTIME: OnceLock<tokio::runtime::Runtime> = OnceLock::new();
     let runtime = RUNTIME.get_or_init(|| {
--- a/crates/fakes/src/logserver.rs
+++ b/crates/fakes/src/logserver.rs
@@ -1,5 +1,6 @@
-//! Log servers on real sockets: cores, a queue, slow start, load reports, draining, deduplication by idempotency key,
-//! and faults. Work is time spent on a core without computing, so that many servers fit on one machine.
+//! Fake log servers on real sockets, with cores, a queue, slow start, load reports, draining, deduplication by
+//! idempotency key, and faults. A core sleeps for the service time instead of computing, so that many servers fit on
+//! one machine.
 
 use std::collections::HashMap;
 use std::io;
@@ -25,22 +26,22 @@
 use crate::second_answer::SecondAnswer;
 use crate::wire::{Message, Reader};
 
-/// With more idempotency keys than this, expired ones are removed.
+/// The number of idempotency keys above which expired ones are removed.
 const MAX_KEYS: usize = 10_000;
 const BAD_REQUEST: &str = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
 const SERVER_ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 const GARBAGE: &str = "\u{1}\u{2}noise\r\n\r\n";
-/// The share of the answers sent a second time that are rejections.
+/// The share of rejections among the responses that are sent twice.
 const REPEATED_REJECTION_SHARE: f64 = 0.3;
-/// How many bytes a truncated answer lacks.
+/// The number of bytes that a truncated response lacks.
 const TRUNCATED_BYTES: usize = 4;
 
-/// The idempotency keys that the servers of one zone have executed lately.
+/// The idempotency keys that the servers of one zone have executed recently.
 #[derive(Default)]
 pub struct RecentKeys(Mutex<HashMap<String, Instant>>);
 
 impl RecentKeys {
-    /// Whether a key was not executed within `window` before `now`. If so, it counts as executed from now on.
+    /// Returns whether a key was not executed within `window` before `now`, and if so records it as executed.
     pub fn insert_if_new(&self, key: &str, window: Duration, now: Instant) -> bool {
         let mut keys = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if keys.len() > MAX_KEYS {
@@ -56,49 +57,50 @@
     }
 }
 
-/// The properties of a server.
+/// The parameters of a server.
 #[derive(Clone)]
 pub struct ServerSpec {
-    /// Its name.
+    /// The server's name.
     pub name: String,
-    /// The requests that it works on at the same time.
+    /// The number of requests that it executes at the same time.
     pub cores: usize,
-    /// The requests that may queue; more are rejected without being executed.
+    /// The number of requests that may queue. More are rejected without being executed.
     pub queue_capacity: usize,
-    /// The connections on which it accepts requests; on more, they are rejected.
+    /// The number of connections on which it accepts requests. On further ones it rejects them.
     pub max_connections: usize,
-    /// The share of its speed that it starts with.
+    /// The share of its full speed at start.
     pub cold_share: f64,
-    /// The time until it has its full speed; zero: from the start.
+    /// The time until it reaches its full speed. Zero means from the start.
     pub warm_up: Duration,
     /// The idempotency keys of its zone.
     pub idempotency_keys: Arc<RecentKeys>,
-    /// How long they are remembered.
+    /// The time for which idempotency keys are remembered.
     pub deduplication_window: Duration,
-    /// How long an idle connection is kept open.
+    /// The time for which an idle connection is kept open.
     pub idle_timeout: Duration,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// A fault of one request.
+/// A fault in the handling of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is executed, and the answer has status 500.
+    /// The request is executed, and the response has status 500.
     Error,
-    /// The connection is reset before it is executed.
+    /// The connection is reset before the request is executed.
     ResetBefore,
-    /// The connection is reset after it was executed.
+    /// The connection is reset after the request was executed.
     ResetAfter,
-    /// It is executed, and never answered.
+    /// The request is executed and never answered.
     Hang,
-    /// It is executed, and the answer is no HTTP.
+    /// The request is executed, and the response is not HTTP.
     Garbage,
-    /// It is executed, and the answer is incomplete.
+    /// The request is executed, and the response is incomplete.
     Truncated,
-    /// It is rejected in a way that proves nothing, in most cases after it was executed.
+    /// The request is rejected with a malformed rejection, which does not prove that it was not executed; in most
+    /// cases it was.
     BrokenRejection,
-    /// It is answered, or rejected, twice.
+    /// The response or rejection is sent twice.
     SecondAnswer,
 }
 
@@ -109,7 +111,7 @@
     Dead,
 }
 
-/// The shares of the requests that have a fault. The rest are answered.
+/// The share of the requests with each fault. The rest are served normally.
 type FaultShares = Vec<(f64, Fault)>;
 
 struct Shared {
@@ -126,7 +128,7 @@
     rng: Mutex<StdRng>,
 }
 
-/// A running log server. It ends with its handle.
+/// A running log server. It stops when the handle is dropped.
 pub struct LogServer {
     /// The address that it listens at.
     pub at: SocketAddr,
@@ -160,27 +162,27 @@
         Ok(LogServer { at, shared, mode })
     }
 
-    /// Its name.
+    /// Returns the server's name.
     pub fn name(&self) -> &str {
         &self.shared.spec.name
     }
 
-    /// From now on it rejects all new requests.
+    /// Rejects all new requests from now on.
     pub fn drain(&self) {
         self.mode.send_replace(Mode::Draining);
     }
 
-    /// Kills it: its connections are reset, and new ones are refused.
+    /// Kills the server: its connections are reset, and new ones are refused.
     pub fn kill(&self) {
         self.mode.send_replace(Mode::Dead);
     }
 
-    /// From now on these shares of the requests have faults.
+    /// Sets the share of the requests with each fault.
     pub fn set_faults(&self, faults: Vec<(f64, Fault)>) {
         *self.shared.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// From now on work takes this many times as long.
+    /// Multiplies all service times by this factor from now on.
     pub fn set_slowdown(&self, factor: f64) {
         *self.shared.slowdown.lock().unwrap_or_else(PoisonError::into_inner) = factor;
     }
@@ -199,11 +201,11 @@
     }
 }
 
-/// Counts something while it lives.
+/// Increments a count for as long as it lives.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl<'a> CountGuard<'a> {
-    /// Counts one more. Also returns the count before.
+    /// Increments the count. Also returns its former value.
     fn new(count: &'a AtomicUsize) -> (CountGuard<'a>, usize) {
         let before = count.fetch_add(1, Ordering::Relaxed);
         (CountGuard(count), before)
@@ -232,7 +234,7 @@
     }
 }
 
-/// How a connection ends.
+/// The way in which a server ends a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
     Closed,
@@ -287,7 +289,7 @@
 }
 
 impl Shared {
-    /// Serves a request. With `reject`, it is rejected without being executed.
+    /// Serves a request. With `reject`, rejects it without executing it.
     async fn serve(&self, message: &Message, reject: bool) -> Reply {
         let Some(id) = message.header("x-correlation-id") else {
             return Reply::Answer(NOT_FOUND.to_owned());
@@ -323,7 +325,7 @@
         self.account.record_server_event(&self.spec.name, id, event);
     }
 
-    /// Checks what the protocol says of a request that arrives.
+    /// Checks the time left that a request states when it arrives.
     fn check_arrival(&self, id: &str, message: &Message) {
         let time_left = message.header("x-time-left-ms").and_then(|ms| ms.parse().ok());
         if let Some(time_left) = time_left.map(Duration::from_millis) {
@@ -336,7 +338,7 @@
         self.spec.idempotency_keys.insert_if_new(key, window, Instant::now())
     }
 
-    /// Waits for a core and works on it. Returns whether there was one.
+    /// Waits for a core and executes the request on it. Returns `false` if there is none.
     async fn execute(&self, id: &str, work: Duration) -> bool {
         let core = {
             let (_queued, _) = CountGuard::new(&self.queued);
@@ -349,7 +351,7 @@
         true
     }
 
-    /// Rejects a request in a way that proves nothing.
+    /// Rejects a request with a malformed rejection.
     async fn break_rejection(&self, id: &str, work: Duration) -> Reply {
         let drawn = {
             let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
@@ -361,7 +363,7 @@
         Reply::Rejection(drawn)
     }
 
-    /// Serves or rejects a request, and has that sent a second time.
+    /// Serves or rejects a request, and plans a second copy of the response.
     async fn answer_twice(&self, id: &str, work: Duration) -> Reply {
         let (rejects, second) = {
             let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
@@ -376,7 +378,7 @@
         Reply::Twice(self.ok_answer(id), second)
     }
 
-    /// The reply to an executed request.
+    /// Returns the reply to an executed request.
     fn reply(&self, id: &str, fault: Option<Fault>) -> Reply {
         match fault {
             None | Some(Fault::BrokenRejection | Fault::SecondAnswer) => {
@@ -412,7 +414,7 @@
         format!("inflight={},queue={queued},util={utilization:.2}", queued + executing)
     }
 
-    /// Draws whether a request has a fault, and its work: from a half to one and a half of the mean.
+    /// Draws the fault of a request, if any, and its service time: between 0.5 and 1.5 of the mean.
     fn draw(&self, mean: Duration) -> (Option<Fault>, Duration) {
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         let mut point: f64 = rng.random();
@@ -427,7 +429,7 @@
         (None, work)
     }
 
-    /// The speed relative to that of a warm server without slowdown.
+    /// Returns the speed relative to that of a warm server without slowdown.
     fn speed(&self) -> f64 {
         let slowdown = *self.slowdown.lock().unwrap_or_else(PoisonError::into_inner);
         let (cold_share, warm_up) = (self.spec.cold_share, self.spec.warm_up);
--- a/crates/fakes/src/logserver/broken_rejection.rs
+++ b/crates/fakes/src/logserver/broken_rejection.rs
@@ -1,4 +1,4 @@
-//! Rejections that prove nothing: cut, silent, contradictory, or written twice.
+//! Malformed rejections, which do not prove that the request was not executed: truncated, contradictory, or sent twice.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use super::ConnectionEnd;
 
 const HEAD: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\n";
-/// How long after a rejection its second copy is written, in milliseconds.
+/// The time after a rejection at which its second copy is sent, in milliseconds.
 const SECOND_COPY_MS: std::ops::Range<u64> = 2..12;
 
-/// What is wrong with a rejection.
+/// The defect of a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Form {
-    /// Its body is shorter than announced.
+    /// The body is shorter than its Content-Length.
     Cut(AfterCut),
-    /// Its head also says that the request may have been processed.
+    /// The head also says that the request may have been processed.
     Contradictory,
-    /// It is whole, and written a second time.
+    /// The rejection is complete, and sent twice.
     Twice,
 }
 
-/// What a server does behind a part of a rejection.
+/// The action of a server after a truncated rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterCut {
     Close,
@@ -40,7 +40,7 @@
     Form::Twice,
 ];
 
-/// A rejection that proves nothing.
+/// A malformed rejection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BrokenRejection {
     form: Form,
@@ -54,12 +54,12 @@
         BrokenRejection { form, second_copy }
     }
 
-    /// Whether the request is executed all the same.
+    /// Returns whether the request is executed although it is rejected.
     pub(super) fn is_executed(self) -> bool {
         self.form != Form::Twice
     }
 
-    /// Writes it. Returns how the connection ends, if it does.
+    /// Writes the rejection. Returns how the connection ends, or `None` if it stays open.
     pub(super) async fn send(
         self,
         socket: &mut (impl AsyncWrite + Unpin),
--- a/crates/fakes/src/logserver/second_answers.rs
+++ b/crates/fakes/src/logserver/second_answers.rs
@@ -1,4 +1,4 @@
-//! The second answers of a connection that are still to be sent.
+//! The second responses of a connection that are yet to be sent.
 
 use std::io::{self, Write};
 
@@ -8,7 +8,7 @@
 
 use crate::second_answer::{SecondAnswer, When};
 
-/// The second answers of a connection that are still to be sent. They end with it.
+/// The second responses of a connection that are yet to be sent. They are dropped with the connection.
 #[derive(Default)]
 pub(super) struct SecondAnswers {
     with_next_request: Option<Vec<u8>>,
@@ -16,13 +16,13 @@
 }
 
 impl SecondAnswers {
-    /// The answer that is to be sent ahead of the one to a request that has arrived.
+    /// Takes the second response that is to be sent before the response to the request that has just arrived.
     pub(super) fn take(&mut self) -> Option<Vec<u8>> {
         while self.later.try_join_next().is_some() {}
         self.with_next_request.take()
     }
 
-    /// Has `first` sent once more on its connection.
+    /// Plans to send `first` again on its connection.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
                 let mut handle = SockRef::from(socket).try_clone()?;
                 self.later.spawn(async move {
                     tokio::time::sleep(delay).await;
-                    // A few bytes, which the system takes at once.
+                    // The few bytes fit into the socket buffer, so the write does not block.
                     let _ = handle.write(&text);
                 });
             }
--- a/crates/fakes/src/program.rs
+++ b/crates/fakes/src/program.rs
@@ -1,28 +1,28 @@
-//! The programs of the workspace, for tests and tools that run them.
+//! Locates and builds the programs of the workspace, for tests and tools that run them.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::{Arc, OnceLock};
 
-/// Why a program of the workspace cannot be had.
+/// A program of the workspace could not be built or found.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ProgramError {
     /// Cargo could not be started.
     #[error("cargo: {0}")]
     Cargo(Arc<io::Error>),
-    /// Cargo ran, and reported a failure.
+    /// Cargo reported a failure.
     #[error("cargo could not build the programs")]
     Build,
-    /// There is no such program.
-    #[error("{}: not there", path.display())]
+    /// The program does not exist.
+    #[error("{}: no such program", path.display())]
     Missing {
-        /// Where it was expected.
+        /// The path at which it was expected.
         path: PathBuf,
     },
 }
 
-/// The directory of the programs that belong to the build of the running test or tool.
+/// Returns the directory of the programs that were built together with the running test or tool.
 ///
 /// # Panics
 ///
@@ -30,7 +30,7 @@
 pub fn directory() -> PathBuf {
     let own_program = std::env::current_exe().expect("a running program has a path");
     let directory = own_program.parent().expect("a program lies in a directory");
-    // Tests and examples lie one level below the programs.
+    // Tests and examples are one level below the programs.
     let below = directory.file_name().is_some_and(|n| n == "deps" || n == "examples");
     if below {
         directory.parent().expect("deps lies in a directory").to_owned()
@@ -39,7 +39,7 @@
     }
 }
 
-/// The programs that hosts run, by package and name.
+/// The programs that run on hosts, as pairs of package and name.
 const PROGRAMS: [(&str, &str); 5] = [
     ("lb-sidecar", "lb-sidecar"),
     ("config-distribution", "lb-config"),
@@ -48,15 +48,15 @@
     ("lbctl", "lbctl"),
 ];
 
-/// The path of a program of the workspace. It is built in the profile of the running program if it is older than its
-/// sources; without cargo, it is taken as it is. `progress` shows the build.
+/// Returns the path of a program of the workspace. If it is older than its sources, it is built in the profile of the
+/// running program; without cargo, the existing program is used. `progress` shows the progress of the build.
 ///
-/// All programs are built by one call of cargo, once in the life of a process: their dependencies get the features
-/// that all of them need together, so that cargo does not build the same crates again for another set of packages.
+/// All programs are built by one call of cargo, once per process: the features of their dependencies are then unified,
+/// so that cargo does not build the same crates again for another set of packages.
 ///
 /// # Errors
 ///
-/// When it cannot be built, or is not there.
+/// When the program cannot be built or does not exist.
 pub fn built(name: &str, progress: bool) -> Result<PathBuf, ProgramError> {
     static BUILT: OnceLock<Result<(), ProgramError>> = OnceLock::new();
     let directory = directory();
@@ -88,33 +88,33 @@
     if status.success() { Ok(()) } else { Err(ProgramError::Build) }
 }
 
-/// The manifest of the workspace.
+/// Returns the path of the workspace's manifest.
 fn manifest() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../Cargo.toml")
 }
 
-/// A temporary directory. Dropping it deletes it.
+/// A temporary directory. It is deleted when dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new directory; `what` is the beginning of its name.
+    /// Creates a directory whose name begins with `what`.
     ///
     /// # Panics
     ///
-    /// When it cannot be created.
+    /// When the directory cannot be created.
     #[must_use]
     pub fn new(what: &str) -> Folder {
         use std::sync::atomic::{AtomicU64, Ordering};
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("{what}-{}-{n}", std::process::id()));
-        // An earlier process with the same id may have left one of this name.
+        // An earlier process with the same id may have left a directory of this name.
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).expect("a temporary directory");
         Folder(path)
     }
 
-    /// Its path.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the list of servers, answered completely or as changes, with long polling.
+//! Fake service discovery: serves the endpoint list completely or as changes, with long polling.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,35 +19,35 @@
 #[cfg(test)]
 mod tests;
 
-/// How many connections may wait to be accepted, unless a test says otherwise.
+/// The default listen backlog.
 const BACKLOG: u32 = 1024;
 
-/// The most changes that are kept. A watch of an older version gets the complete list.
+/// The maximum number of changes that are kept. A watch from an older version gets the complete list.
 const MAX_CHANGES: usize = 256;
 
-/// A server as discovery lists it. The names of the fields are those of the protocol.
+/// A server in the endpoint list. The names of the fields are those of the protocol.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// Its name.
+    /// The name of the server.
     pub host: String,
-    /// Its address.
+    /// The address of the server.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// The zone of the server.
     pub site: String,
-    /// Its kind of machine.
+    /// The machine type of the server.
     pub class: String,
-    /// Its cell.
+    /// The cell of the server.
     pub block: u16,
     /// `active`, `leaving` or, among changes, `left`.
     pub health: &'static str,
-    /// Its relative capacity.
+    /// The relative capacity of the server.
     pub share: f64,
-    /// When it last started, in milliseconds of Unix time; 0: long ago.
+    /// The Unix time of its last start, in milliseconds. 0 means long ago.
     pub born_ms: u64,
 }
 
 impl Entry {
-    /// An active server that has run for a long time.
+    /// Creates the entry of an active server that started long ago.
     pub fn new(dial: SocketAddr, site: &str) -> Entry {
         Entry {
             host: format!("s-{}", dial.port()),
@@ -62,14 +62,14 @@
     }
 }
 
-/// The list of servers with its version and its latest changes. No I/O.
+/// The endpoint list with its version and its latest changes. Does no I/O.
 #[derive(Clone, Default)]
 pub struct EndpointList {
     version: u64,
     entries: Vec<Entry>,
-    /// The latest changes, each with the version that it made.
+    /// The latest changes, each with the version of the list that contains it first.
     changes: Vec<(u64, Entry)>,
-    /// Changes up to this version are not kept.
+    /// The latest version whose changes are not kept any more.
     forgotten_version: u64,
 }
 
@@ -78,7 +78,7 @@
     list: EndpointList,
     down: bool,
     faults: RegistryFaults,
-    /// How often the connections that were open have fallen silent.
+    /// The number of times that all connections open at that time have become silent.
     silences: u64,
 }
 
@@ -92,41 +92,41 @@
 }
 
 impl State {
-    /// Whether a connection answers nothing that was accepted after so many silences.
+    /// Returns whether a connection that was accepted after this number of silences gets no answers.
     fn is_silent_since(&self, silences: u64) -> bool {
         self.faults.silent || self.silences > silences
     }
 }
 
 impl EndpointList {
-    /// Version 1 of a list.
+    /// Creates version 1 of a list.
     pub fn new(entries: Vec<Entry>) -> EndpointList {
         EndpointList { version: 1, entries, ..EndpointList::default() }
     }
 
-    /// Forgets all changes: every watch of an earlier version gets the complete list.
+    /// Drops all kept changes, so that every watch from an earlier version gets the complete list.
     pub fn forget_changes(&mut self) {
         self.changes.clear();
         self.version += 1;
         self.forgotten_version = self.version;
     }
 
-    /// The version.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The listed servers.
+    /// Returns the listed servers.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Adds a server or replaces the one of its name. With health `left` it is removed.
+    /// Adds a server, or replaces the one with the same name. A server with health `left` is removed.
     pub fn update(&mut self, entry: Entry) {
         self.update_all(vec![entry]);
     }
 
-    /// The same of several servers, in one version.
+    /// Updates several servers like [`update`](Self::update), in one version.
     pub fn update_all(&mut self, entries: Vec<Entry>) {
         self.version += 1;
         for entry in entries {
@@ -141,13 +141,13 @@
         }
     }
 
-    /// The entry of a server with another health.
+    /// Returns a copy of a server's entry with another health.
     pub fn with_health(&self, host: &str, health: &'static str) -> Option<Entry> {
         let entry = self.entries.iter().find(|entry| entry.host == host)?.clone();
         Some(Entry { health, ..entry })
     }
 
-    /// The servers in the answer to a client that has version `from`: the changed ones, or all.
+    /// Returns the servers in the answer to a client that has version `from`: the changed ones, or all.
     pub fn answered_entries(&self, from: Option<u64>) -> Vec<&Entry> {
         match self.known_version(from) {
             Some(known) => {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A client's version, if all changes since then are kept.
+    /// Returns a client's version if all changes since then are kept.
     fn known_version(&self, from: Option<u64>) -> Option<u64> {
         let kept = |v: &u64| *v >= self.forgotten_version;
         let kept_since =
@@ -166,7 +166,7 @@
         from.filter(kept).filter(kept_since)
     }
 
-    /// The answer to a client that has version `from`; none if that is the present version.
+    /// Returns the answer to a client that has version `from`. `None` if that is the current version.
     pub fn answer(&self, from: Option<u64>) -> Option<String> {
         let known = self.known_version(from);
         if known == Some(self.version) {
@@ -177,13 +177,13 @@
         serde_json::to_string(&Answer { version: self.version, complete, hosts }).ok()
     }
 
-    /// The answer without any change.
+    /// Returns an answer without changes.
     pub fn empty_answer(&self) -> String {
         format!(r#"{{"seq":{},"whole":false,"hosts":[]}}"#, self.version)
     }
 }
 
-/// Running discovery for many sidecars. It ends with its last handle.
+/// A running discovery service for many sidecars. It stops when the last handle is dropped.
 #[derive(Clone)]
 pub struct Registry {
     /// The address that it listens at.
@@ -192,7 +192,7 @@
 }
 
 impl Registry {
-    /// Starts discovery with this list on the shared runtime.
+    /// Starts discovery with this endpoint list on the shared runtime.
     ///
     /// # Panics
     ///
@@ -201,7 +201,7 @@
         crate::runtime().block_on(Registry::open(list)).expect("a free port")
     }
 
-    /// Starts discovery with this list on the current runtime.
+    /// Starts discovery with this endpoint list on the current runtime.
     ///
     /// # Errors
     ///
@@ -210,7 +210,8 @@
         Registry::open_with_backlog(list, BACKLOG).await
     }
 
-    /// The same where at most about so many connections wait to be accepted; no further one comes up.
+    /// Like [`open`](Self::open), with a listen backlog of about `backlog` connections. Further ones are not
+    /// established.
     ///
     /// # Errors
     ///
@@ -226,17 +227,17 @@
         Ok(Registry { at, state: Arc::new(state) })
     }
 
-    /// Adds a server or replaces the one of its name.
+    /// Adds a server, or replaces the one with the same name.
     pub fn update(&self, entry: Entry) {
         self.state.send_modify(|state| state.list.update(entry));
     }
 
-    /// The same of several servers, in one version.
+    /// Updates several servers like [`update`](Self::update), in one version.
     pub fn update_all(&self, entries: Vec<Entry>) {
         self.state.send_modify(|state| state.list.update_all(entries));
     }
 
-    /// The same, told to every watch as a complete list.
+    /// Updates several servers in one version, which every watch gets as a complete list.
     pub fn update_all_in_complete_list(&self, entries: Vec<Entry>) {
         self.state.send_modify(|state| {
             state.list.update_all(entries);
@@ -244,7 +245,7 @@
         });
     }
 
-    /// Misbehaves in these ways from now on. At the end of a silence, what was open in it stays silent.
+    /// Sets the faults from now on. Connections that were open during a silence stay silent after its end.
     pub fn set_faults(&self, faults: RegistryFaults) {
         self.state.send_modify(|state| {
             state.silences += u64::from(state.faults.silent && !faults.silent);
@@ -252,12 +253,12 @@
         });
     }
 
-    /// Answers nothing any more on the connections that are open.
+    /// Stops answering on all connections that are open now.
     pub fn silence_open_connections(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
 
-    /// Changes the health of a server; `left` removes it.
+    /// Changes the health of a server. `left` removes it.
     pub fn set_health(&self, host: &str, health: &'static str) {
         let entry = self.state.borrow().list.with_health(host, health);
         if let Some(entry) = entry {
@@ -265,12 +266,12 @@
         }
     }
 
-    /// Takes discovery down: connections are accepted and closed without an answer.
+    /// Takes discovery down: connections are accepted, and closed without an answer.
     pub fn take_down(&self) {
         self.state.send_modify(|state| state.down = true);
     }
 
-    /// Brings discovery up again.
+    /// Ends the outage.
     pub fn bring_up(&self) {
         self.state.send_modify(|state| state.down = false);
     }
@@ -303,8 +304,8 @@
     sleep(first_read_delay).await;
     let mut reader = Reader::new(socket);
     loop {
-        // The order matters: if a request and the outage are both there, an unbiased choice would now and then answer
-        // a request that began after the outage.
+        // `biased`: if a request and an outage are both ready, a random choice would sometimes answer a request that
+        // began after the outage.
         let message = tokio::select! {
             biased;
             _ = state.wait_for(|state| state.down) => return,
@@ -334,7 +335,7 @@
     }
 }
 
-/// Writes an answer, its second half after a pause.
+/// Writes an answer in two halves with a pause in between.
 async fn write_in_halves(socket: &mut TcpStream, text: &[u8], pause: Duration) -> io::Result<()> {
     if pause.is_zero() {
         return socket.write_all(text).await;
@@ -345,7 +346,8 @@
     socket.write_all(second).await
 }
 
-/// The body of the answer; none for an unknown path. A request with `hold_ms` waits that long for a change.
+/// Returns the body of the answer, or `None` for an unknown path. A request with `hold_ms` waits that long for a
+/// change.
 async fn answer(message: &Message, state: &mut watch::Receiver<State>) -> Option<String> {
     if message.path() != "/registry/instances" {
         return None;
@@ -357,7 +359,8 @@
     let deadline = Instant::now() + Duration::from_millis(hold_ms);
     let changed = state.wait_for(|state| state.list.answer(Some(from)).is_some());
     let _ = timeout_at(deadline, changed).await;
-    // By one look: a change just after the hold must not be told as its version without its servers.
+    // The state is borrowed once: otherwise a change just after the hold could be answered with the new version but
+    // without the changed servers.
     let state = state.borrow();
     Some(state.list.answer(Some(from)).unwrap_or_else(|| state.list.empty_answer()))
 }
--- a/crates/fakes/src/registry/faults.rs
+++ b/crates/fakes/src/registry/faults.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with discovery beside an outage.
+//! Faults of discovery other than an outage.
 
 use std::time::Duration;
 
-/// How discovery misbehaves. The default is not at all.
+/// The faults of discovery. The default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegistryFaults {
-    /// Calls are not answered, not even later.
+    /// Requests are never answered.
     pub silent: bool,
-    /// No connection is accepted; they wait in the backlog.
+    /// No connection is accepted. They stay in the backlog.
     pub accepts_nothing: bool,
-    /// How long after it is accepted a connection is first read.
+    /// The time from accepting a connection to its first read.
     pub first_read_delay: Duration,
-    /// How long each answer is on its way.
+    /// The delay of each answer.
     pub answer_delay: Duration,
-    /// How long the second half of each answer comes after the first.
+    /// The pause between the halves of each answer.
     pub pause_within_answer: Duration,
 }
--- a/crates/fakes/src/registry/tests.rs
+++ b/crates/fakes/src/registry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of discovery.
+//! Tests of the fake discovery.
 
 use super::*;
 
@@ -17,7 +17,7 @@
     assert!(
         answer.contains(r#""whole":false"#) && answer.contains("s-2") && !answer.contains("s-1")
     );
-    // A version of an earlier process of discovery.
+    // The client got this version from an earlier process of discovery.
     assert!(list.answer(Some(9)).expect("a list").contains(r#""whole":true"#));
     list.version = 2 + MAX_CHANGES as u64;
     assert!(list.answer(Some(1)).expect("a list").contains(r#""whole":true"#));
@@ -50,7 +50,7 @@
     let mut list = EndpointList::new(vec![entry(1)]);
     list.update_all((2..=10).map(entry).collect());
     assert_eq!((list.version(), list.answered_entries(Some(1)).len()), (2, 9));
-    // Two of the nine are dropped: the others alone would not be what changed since version 1.
+    // Two of the nine changes of version 2 are dropped, so the others alone would be incomplete for version 1.
     list.update_all((11..=10 + MAX_CHANGES as u16 - 7).map(entry).collect());
     let answer = list.answer(Some(1)).expect("a list");
     assert!(answer.contains(r#""whole":true"#));
--- a/crates/fakes/src/scripted.rs
+++ b/crates/fakes/src/scripted.rs
@@ -1,4 +1,4 @@
-//! Servers that answer each request exactly as a test's script says, on plain threads.
+//! Servers that answer each request as a test's script determines, on plain threads.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 
 use crate::wire::{header, read_message};
 
-/// The answer to a message without an id.
+/// The response to a message without a request id.
 pub const NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
-/// A server that answers requests as its script says.
+/// A server whose responses a script determines.
 pub struct Server {
     /// The address that it listens at.
     pub at: SocketAddr,
@@ -18,8 +18,8 @@
 }
 
 impl Server {
-    /// Starts a server. `script` is called with the id of each request and its connection, and tells whether the
-    /// connection stays open. A message without an id is answered with 404.
+    /// Starts a server. `script` is called with the id of each request and its connection, and returns whether the
+    /// connection stays open. A message without a request id is answered with 404.
     ///
     /// # Panics
     ///
@@ -45,7 +45,7 @@
         Server::start(|id, socket| socket.write_all(answer(id).as_bytes()).is_ok())
     }
 
-    /// The ids of the requests that have arrived, in order.
+    /// Returns the ids of the requests that have arrived, in order.
     ///
     /// # Panics
     ///
@@ -54,7 +54,7 @@
         self.heads().iter().map(|head| request_id(head)).collect()
     }
 
-    /// The heads of the requests that have arrived, in order.
+    /// Returns the heads of the requests that have arrived, in order.
     ///
     /// # Panics
     ///
@@ -64,13 +64,13 @@
     }
 }
 
-/// The request id in a head; empty if there is none.
+/// Returns the request id in a head, or an empty string if there is none.
 pub fn request_id(head: &str) -> String {
     header(head, "x-correlation-id").unwrap_or_default()
 }
 
 /// Serves connections until the process ends. `script` is called with the head of each message and its connection,
-/// and tells whether the connection stays open.
+/// and returns whether the connection stays open.
 pub fn serve(
     listener: TcpListener,
     script: impl Fn(&str, &mut TcpStream) -> bool + Send + Sync + 'static,
@@ -92,12 +92,12 @@
     });
 }
 
-/// A response with status 200 whose body is the request id.
+/// Returns a response with status 200 whose body is the request id.
 pub fn answer(id: &str) -> String {
     answer_with(id, "queue=0,inflight=1")
 }
 
-/// The same with this load report.
+/// Like [`answer`], with this load report.
 pub fn answer_with(id: &str, load: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nX-Backend-Load: {load}\r\nContent-Length: {}\r\n\r\n{id}", id.len())
 }
--- a/crates/fakes/src/second_answer.rs
+++ b/crates/fakes/src/second_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that a server sends a second time, some time later: what they look like, and when they are sent.
+//! Responses that a server sends a second time after a delay: their form and time.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// How long after the first a second answer is sent, in milliseconds: short, longer, long.
+/// The ranges of the delay of a second response after the first, in milliseconds.
 const DELAYS_MS: [Range<u64>; 3] = [1..15, 15..70, 100..400];
-/// How many bytes a second answer that is cut lacks.
+/// The number of bytes that a truncated second response lacks.
 const MISSING_BYTES: usize = 5;
 
-/// What a second answer looks like.
+/// The form of a second response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Form {
     Same,
-    /// With a header more, and so of another length.
+    /// A copy with an additional header, and so of another length.
     OtherHead,
     BehindInterim,
     Cut,
@@ -23,20 +23,20 @@
 
 const FORMS: [Form; 4] = [Form::Same, Form::OtherHead, Form::BehindInterim, Form::Cut];
 
-/// When a second answer is sent.
+/// The time at which a second response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum When {
-    /// So long after the first.
+    /// This long after the first.
     Later(Duration),
-    /// As the next request on the connection has arrived.
+    /// When the next request on the connection has arrived.
     NextRequest,
 }
 
-/// How an answer is sent a second time.
+/// The form and the time of a second response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecondAnswer {
     form: Form,
-    /// When it is sent.
+    /// The time at which it is sent.
     pub when: When,
 }
 
@@ -51,7 +51,7 @@
         SecondAnswer { form, when }
     }
 
-    /// The second answer to the request that got `first`.
+    /// Returns the second response to the request that got `first`.
     pub fn text(self, first: &[u8]) -> Vec<u8> {
         let end_of_status = first.windows(2).position(|pair| pair == b"\r\n").unwrap_or_default();
         match self.form {
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -1,4 +1,5 @@
-//! Just enough HTTP/1.1 for fake clients and servers (RFC 9112): messages with a length or in chunks.
+//! A minimal HTTP/1.1 implementation (RFC 9112) for fake clients and servers: messages with a Content-Length or
+//! chunked.
 
 use std::io::{self, BufRead};
 
@@ -7,12 +8,13 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest head, and the longest body, in bytes.
+/// The maximum length of a head, and of a body, in bytes.
 const MAX_BYTES: usize = 1 << 20;
-/// The longest line with the size of a chunk, in bytes.
+/// The maximum length of a chunk size line, in bytes.
 const MAX_CHUNK_SIZE_BYTES: usize = 32;
 
-/// Reads one message's head and body from a blocking socket. None: the connection ended or timed out.
+/// Reads the head and the body of one message from a blocking socket. Returns `None` if the connection ended or timed
+/// out.
 pub fn read_message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     loop {
@@ -36,7 +38,7 @@
     Some((head, body))
 }
 
-/// Reads a body in chunks, without trailers.
+/// Reads a chunked body without trailers.
 fn read_chunks(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut encoded = Vec::new();
     loop {
@@ -49,46 +51,46 @@
     }
 }
 
-/// The value of a header in a head.
+/// Returns the value of a header in a head.
 pub fn header(head: &str, name: &str) -> Option<String> {
     let headers = head.lines().skip(1).filter_map(|line| line.split_once(':'));
     let mut matching = headers.filter(|(header, _)| header.eq_ignore_ascii_case(name));
     matching.next().map(|(_, value)| value.trim().to_owned())
 }
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The first line and the headers.
+    /// The start line and the headers.
     pub head: String,
     /// The body, decoded.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The status of an answer.
+    /// Returns the status of a response.
     pub fn status(&self) -> Option<u16> {
         self.head.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
     }
 
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<String> {
         header(&self.head, name)
     }
 
-    /// The path of a request without its query.
+    /// Returns the path of a request without its query.
     pub fn path(&self) -> &str {
         let target = self.head.split(' ').nth(1).unwrap_or_default();
         target.split('?').next().unwrap_or_default()
     }
 
-    /// A parameter in the query of a request.
+    /// Returns a parameter in the query of a request.
     pub fn query(&self, name: &str) -> Option<&str> {
         let query = self.head.split(' ').nth(1)?.split_once('?')?.1;
         query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|p| p.1)
     }
 
-    /// Whether the sender keeps the connection open after it.
+    /// Returns whether the sender keeps the connection open after this message.
     pub fn keeps_connection(&self) -> bool {
         !self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
@@ -101,31 +103,31 @@
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// A reader of this connection.
+    /// Creates a reader of this connection.
     pub fn new(connection: R) -> Reader<R> {
         Reader { connection, buffer: Vec::new() }
     }
 
-    /// Whether a part of the next message has arrived.
+    /// Returns whether a part of the next message has arrived.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The connection.
+    /// Returns the connection.
     pub fn get_ref(&self) -> &R {
         &self.connection
     }
 
-    /// The connection, to write on.
+    /// Returns the connection for writing.
     pub fn get_mut(&mut self) -> &mut R {
         &mut self.connection
     }
 
-    /// The next message; none if the connection ended between two messages. It is cancel safe.
+    /// Reads the next message. Returns `None` if the connection ended between two messages. Cancel safe.
     ///
     /// # Errors
     ///
-    /// When the connection breaks, ends within a message, or sends something that is no message.
+    /// When the connection breaks, ends within a message, or carries an invalid message.
     pub async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, length)) = parse(&self.buffer)? {
@@ -140,7 +142,7 @@
     }
 }
 
-/// The first message in a buffer, with its length there; none if it is incomplete.
+/// Parses the first message in a buffer. Returns it with its encoded length, or `None` if it is incomplete.
 fn parse(buffer: &[u8]) -> io::Result<Option<(Message, usize)>> {
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4) else {
@@ -159,8 +161,8 @@
     Ok(Some((Message { head: head.to_owned(), body: body.to_vec() }, end + length)))
 }
 
-/// Decodes a body in chunks without trailers (RFC 9112, section 7.1). Returns it with its encoded length; none if it is
-/// incomplete.
+/// Decodes a chunked body without trailers (RFC 9112, section 7.1). Returns it with its encoded length, or `None` if it
+/// is incomplete.
 fn decode_chunked(mut bytes: &[u8]) -> io::Result<Option<(Vec<u8>, usize)>> {
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let total = bytes.len();
--- a/crates/fakes/src/wire/tests.rs
+++ b/crates/fakes/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading and encoding messages.
+//! Tests of reading and encoding HTTP messages.
 
 use super::*;
 
--- a/crates/fakes/src/world.rs
+++ b/crates/fakes/src/world.rs
@@ -1,4 +1,4 @@
-//! A small deployment: log servers of three zones, discovery, and the account.
+//! A small deployment of fakes: log servers in three zones, discovery, and the account of requests.
 
 use std::io;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 
 /// The zones.
 pub const ZONES: [&str; 3] = ["utrecht", "groningen", "eindhoven"];
-/// The tenants and their shares of the load.
+/// The tenants, each with its share of the load.
 pub const TENANTS: [(&str, f64); 3] =
     [("zendkring-delta", 0.37), ("radioclub-oost", 0.32), ("qrp-kring-noord", 0.31)];
-/// How long servers remember idempotency keys.
+/// The time for which servers remember idempotency keys.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1200);
-/// How long servers keep an idle connection open.
+/// The time for which servers keep an idle connection open.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The quota of a tenant with all of the load, in requests per second.
+/// The quota of a tenant with the whole load, in requests per second. Others get their share of it.
 const QUOTA_PER_S: f64 = 1000.0;
-/// The requests that a server works on at the same time.
+/// The number of requests that a server executes at the same time.
 const SERVER_CORES: usize = 8;
-/// The requests that may queue at a server.
+/// The number of requests that may queue at a server.
 const SERVER_QUEUE: usize = 64;
-/// The connections that a server accepts.
+/// The number of connections on which a server accepts requests.
 const SERVER_CONNECTIONS: usize = 640;
-/// The share of its speed that a server starts with.
+/// The share of its full speed that a server has at start.
 const SERVER_COLD_SHARE: f64 = 0.16;
 
-/// The four classes of a log service. `time_scale` multiplies their latency objectives and deadlines, for slow
-/// machines.
+/// Returns the four request classes of a log service. `time_scale` multiplies their latency objectives and deadlines,
+/// for slow machines.
 pub fn classes(time_scale: f64) -> Vec<Class> {
     let ms = Duration::from_millis;
     let class = |name, idempotency, share, service_ms, objective_ms, deadline_ms| Class {
@@ -52,11 +52,11 @@
 
 /// A running deployment.
 pub struct World {
-    /// What became of every request.
+    /// The account of all requests.
     pub account: Arc<Account>,
-    /// Discovery.
+    /// The discovery service.
     pub registry: Registry,
-    /// The log servers, with their zones.
+    /// The log servers, each with its zone.
     pub servers: Vec<(LogServer, &'static str)>,
 }
 
@@ -74,7 +74,7 @@
         World::with_account(Arc::new(Account::new(classes)), servers_per_zone, seed).await
     }
 
-    /// The same with an account that others share.
+    /// Like [`start`](Self::start), with an account that is shared with others.
     ///
     /// # Errors
     ///
@@ -100,12 +100,12 @@
         Ok(World { account, registry: Registry::open(list).await?, servers })
     }
 
-    /// The settings of a sidecar of this deployment, without its number and zone.
+    /// Returns the settings of a sidecar of this deployment, without its number and zone.
     pub fn settings(&self) -> Value {
         settings(self.account.classes())
     }
 
-    /// The names of the tenants.
+    /// Returns the names of the tenants.
     pub fn tenants() -> Vec<String> {
         TENANTS.iter().map(|(name, _)| (*name).to_owned()).collect()
     }
@@ -126,7 +126,7 @@
     }
 }
 
-/// The settings of a sidecar for requests of these classes, without its number and zone.
+/// Returns the settings of a sidecar for requests of these classes, without its number and zone.
 pub fn settings(classes: &[Class]) -> Value {
     let tenants = TENANTS.map(
         |(name, share)| json!({"name": name, "quotaPerS": QUOTA_PER_S * share, "share": share}),
--- a/crates/fakes/tests/clients.rs
+++ b/crates/fakes/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients take for lost.
+//! Tests of which requests the fake clients count as lost.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -12,8 +12,8 @@
 use fakes::scripted::{Server, answer};
 use tokio::sync::watch;
 
-/// Plays clients of idempotent requests against `script` for a second.
-fn play(script: impl Fn(&str, &mut TcpStream) -> bool + Send + Sync + 'static) -> Report {
+/// Runs clients that send idempotent requests to a server with `script` for a second, and returns the report.
+fn run_clients(script: impl Fn(&str, &mut TcpStream) -> bool + Send + Sync + 'static) -> Report {
     let server = Server::start(script);
     let class = Class {
         name: "look",
@@ -33,8 +33,9 @@
     account.report()
 }
 
-/// Answers the first request of a connection, and ends it under the second after `pause`.
-fn close_under_second(pause: Duration) -> impl Fn(&str, &mut TcpStream) -> bool {
+/// Returns a script that answers the first request of each connection, and closes the connection without an answer
+/// `pause` after the second one.
+fn close_on_second_request(pause: Duration) -> impl Fn(&str, &mut TcpStream) -> bool {
     let served = Mutex::new(BTreeSet::new());
     move |id, socket| {
         let client = socket.peer_addr().expect("connected");
@@ -48,14 +49,14 @@
 
 #[test]
 fn request_whose_connection_ends_long_after_it_was_written_is_lost() {
-    let report = play(close_under_second(Duration::from_millis(110)));
+    let report = run_clients(close_on_second_request(Duration::from_millis(110)));
     assert!(report.lost > 0, "{report:?}");
     assert_eq!(report.close_races, 0, "{report:?}");
 }
 
 #[test]
 fn request_that_crosses_the_end_of_its_connection_is_sent_again() {
-    let report = play(close_under_second(Duration::ZERO));
+    let report = run_clients(close_on_second_request(Duration::ZERO));
     assert!(report.close_races > 0, "{report:?}");
     assert_eq!(report.violations(), 0, "{report:?}");
 }
--- a/crates/fakes/tests/logserver.rs
+++ b/crates/fakes/tests/logserver.rs
@@ -1,4 +1,4 @@
-//! The fake log servers without faults, and with each of them.
+//! Tests of the fake log servers, without faults and with each of them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -32,7 +32,8 @@
     (server, account)
 }
 
-/// Sends an order of a new client. An error is the end of the connection.
+/// Sends one request on a new connection: an upload with an idempotency key, or an order if `key` is empty. Returns an
+/// error if the connection ends without a response.
 async fn order(server: &LogServer, account: &Account, key: &str) -> std::io::Result<Message> {
     let id = account.next_attempt(account.begin(2)).request_id();
     let key = if key.is_empty() { String::new() } else { format!("Idempotency-Key: {key}\r\n") };
@@ -89,16 +90,16 @@
 async fn broken_rejections_come_in_every_form() {
     let (server, account) = started(spec()).await;
     server.set_faults(vec![(1.0, Fault::BrokenRejection)]);
-    let mut whole = 0;
+    let mut complete = 0;
     for _ in 0..40 {
         let answer = timeout(Duration::from_millis(200), order(&server, &account, "")).await;
         let Ok(Ok(answer)) = answer else { continue };
         assert_eq!(answer.status(), Some(503));
-        whole += 1;
+        complete += 1;
     }
     let executed = account.report().servers["one"].executed;
-    // Of five forms three are cut, and one is not executed.
-    assert!((4..=30).contains(&whole), "{whole}");
+    // Three of the five forms are truncated, and one is not executed.
+    assert!((4..=30).contains(&complete), "{complete}");
     assert!((20..40).contains(&executed), "{executed}");
 }
 
@@ -123,7 +124,7 @@
 async fn full_and_draining_servers_reject_and_a_killed_one_refuses_connections() {
     let (server, account) = started(spec()).await;
     server.set_slowdown(100.0);
-    // One is executed, one is queued, the others are too many.
+    // One request is executed, one is queued, and the others exceed the queue.
     let all = async {
         tokio::join!(
             order(&server, &account, ""),
@@ -140,7 +141,7 @@
     server.kill();
     let end = Instant::now() + fakes::PATIENCE;
     while TcpStream::connect(server.at).await.is_ok() {
-        assert!(Instant::now() < end, "it still accepts");
+        assert!(Instant::now() < end, "a killed server still accepts connections");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -148,12 +149,12 @@
 #[tokio::test]
 async fn cold_server_is_slower_than_a_warm_one() {
     let cold = ServerSpec { warm_up: Duration::from_secs(3600), ..spec() };
-    let (cold, of_cold) = started(cold).await;
-    let (warm, of_warm) = started(spec()).await;
+    let (cold, cold_account) = started(cold).await;
+    let (warm, warm_account) = started(spec()).await;
     let started_at = Instant::now();
-    order(&cold, &of_cold, "").await.expect("an answer");
-    // At a tenth of its speed it takes 60 ms at least.
+    order(&cold, &cold_account, "").await.expect("an answer");
+    // At a tenth of the full speed, a request takes at least 60 ms.
     assert!(started_at.elapsed() >= Duration::from_millis(55));
-    order(&warm, &of_warm, "").await.expect("an answer");
-    assert_eq!(of_warm.report().servers["one"].executed, 1);
+    order(&warm, &warm_account, "").await.expect("an answer");
+    assert_eq!(warm_account.report().servers["one"].executed, 1);
 }
