--- a/crates/fault-injection/src/bin/lb-process-guard.rs
+++ b/crates/fault-injection/src/bin/lb-process-guard.rs
@@ -1,7 +1,7 @@
-//! Becomes the program named by its arguments, and ends with whoever has started it.
+//! Executes the program named by its arguments in its place, so that the program is killed when its parent ends.
 //!
-//! Danger: it is the end of the parent's *thread* that counts (prctl(2)): start it from one that lives as long
-//! as the program should.
+//! The kernel sends the signal when the parent's *thread* ends (prctl(2)), so the guard must be started from a thread
+//! that lives as long as the program should.
 #![forbid(unsafe_code)]
 
 use std::os::unix::process::CommandExt;
@@ -19,7 +19,7 @@
         eprintln!("lb-process-guard: {error}");
         return ExitCode::from(2);
     }
-    // A parent that ended before this was asked for ends nobody.
+    // If the parent ended before the signal was requested, no signal is sent.
     let now = getppid().map_or(0, |pid| pid.as_raw_nonzero().get());
     if parent.to_str().and_then(|pid| pid.parse().ok()) != Some(now) {
         return ExitCode::from(2);
--- a/crates/fault-injection/src/drain_watch.rs
+++ b/crates/fault-injection/src/drain_watch.rs
@@ -1,5 +1,6 @@
-//! Judges by the protocol's rule whether a sidecar sends new requests to a server that drains or was removed: by when
-//! it counts as knowing that, and by when the first bytes of a request leave it.
+//! Checks the protocol's rule that a sidecar sends no new requests to a server that drains or was removed. It compares
+//! the time at which the sidecar counts as knowing the change with the time at which the first bytes of a request
+//! leave the sidecar.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,57 +12,57 @@
 #[cfg(test)]
 mod tests;
 
-/// How much longer any time of the protocol may be on sockets.
+/// The protocol's allowance on any time limit for real sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// What a machine may add that runs some dozens of processes on a few processors.
-const BUSY_MACHINE: Duration = Duration::from_millis(250);
-/// Where lists are polled, how long after discovery could be reached a sidecar counts as knowing what it has.
+/// The allowance for a machine that runs dozens of processes on a few processors.
+const BUSY_MACHINE_ALLOWANCE: Duration = Duration::from_millis(250);
+/// The time after which a sidecar that polls its lists counts as knowing a change, from when discovery is reachable.
 const POLL_NOTIFICATION: Duration = Duration::from_secs(6);
-/// What the first line of a request begins with.
+/// The beginnings of a request line.
 const METHODS: [&[u8]; 2] = [b"GET ", b"POST "];
 
-/// How a sidecar learns of changes, and how soon it has to follow them.
+/// The way in which a sidecar learns of changes, and the time within which it has to follow them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainRule {
-    /// An agent has its lists; otherwise they are polled.
+    /// Whether an agent provides its lists. Otherwise the sidecar polls them.
     pub pushed: bool,
-    /// How long after it knows that a server drains it may send new requests there.
+    /// The time after it knows that a server drains within which it may send new requests there.
     pub grace: Duration,
 }
 
 impl DrainRule {
-    /// How long after a change that could be fetched new requests may still be sent.
+    /// Returns the time after a change can be fetched within which new requests may still be sent.
     fn allowance(&self) -> Duration {
         let notification = if self.pushed { Duration::ZERO } else { POLL_NOTIFICATION };
-        notification + self.grace + SOCKET_SLACK + BUSY_MACHINE
+        notification + self.grace + SOCKET_SLACK + BUSY_MACHINE_ALLOWANCE
     }
 }
 
-/// By when sidecars may send nothing new to servers that drain. The clock is passed in.
+/// The deadlines for new requests from sidecars to draining servers. Callers pass in the time.
 #[derive(Clone, Debug, Default)]
 pub struct DrainDeadlines {
-    /// By sidecar.
+    /// The rule of each sidecar.
     rules: Vec<DrainRule>,
-    /// Since when each sidecar can reach its discovery; none while it cannot.
+    /// The time since which each sidecar can reach its discovery. `None` while it cannot.
     reachable_since: Vec<Option<Instant>>,
-    /// Since when servers are listed as draining, or not any more.
+    /// The time since which servers are listed as draining, or not listed any more.
     draining_since: HashMap<u16, Instant>,
 }
 
 impl DrainDeadlines {
-    /// Sidecars with these rules, which can all reach discovery.
+    /// Creates the deadlines of sidecars with these rules, all of which can reach discovery.
     pub fn new(rules: Vec<DrainRule>, now: Instant) -> DrainDeadlines {
         let reachable_since = vec![Some(now); rules.len()];
         DrainDeadlines { rules, reachable_since, draining_since: HashMap::new() }
     }
 
-    /// Notes whether a sidecar can reach its discovery from now on.
+    /// Sets whether a sidecar can reach its discovery from now on.
     pub fn set_reachable(&mut self, sidecar: u16, reachable: bool, now: Instant) {
         let since = &mut self.reachable_since[usize::from(sidecar)];
         *since = reachable.then(|| since.unwrap_or(now));
     }
 
-    /// Notes that from now on discovery lists a server as draining or not at all, or that it lists it as active again.
+    /// Sets whether discovery lists a server as draining, or not at all, from now on. Otherwise it is listed as active.
     pub fn set_draining(&mut self, server: u16, draining: bool, now: Instant) {
         if draining {
             self.draining_since.entry(server).or_insert(now);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// When the last new request to a server may leave a sidecar; none if any may.
+    /// Returns the latest time at which a new request to a server may leave a sidecar. `None` means no limit.
     pub fn deadline(&self, sidecar: u16, server: u16) -> Option<Instant> {
         let sidecar = usize::from(sidecar);
         let reachable = self.reachable_since.get(sidecar).copied().flatten()?;
@@ -79,24 +80,24 @@
     }
 }
 
-/// Watches what sidecars send to servers, and records in the account what is sent too late.
+/// Watches the data that sidecars send to servers, and records requests that are sent too late in the account.
 pub struct DrainWatch {
     account: Arc<Account>,
     deadlines: Mutex<DrainDeadlines>,
 }
 
 impl DrainWatch {
-    /// A watch that knows of no sidecars yet.
+    /// Creates a watch without any sidecars.
     pub fn new(account: Arc<Account>) -> DrainWatch {
         DrainWatch { account, deadlines: Mutex::default() }
     }
 
-    /// The deadlines.
+    /// Locks and returns the deadlines.
     pub fn deadlines(&self) -> MutexGuard<'_, DrainDeadlines> {
         self.deadlines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what has just left a sidecar for a server.
+    /// Checks data that has just left a sidecar for a server.
     pub fn on_data(&self, sidecar: u16, server: u16, data: &[u8], now: Instant) {
         if !begins_request(data) {
             return;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Whether a request begins with this data. Bodies of the clients here begin otherwise.
+/// Returns whether this data is the beginning of a request. The bodies that the fake clients send begin differently.
 fn begins_request(data: &[u8]) -> bool {
     METHODS.iter().any(|method| {
         let length = method.len().min(data.len());
--- a/crates/fault-injection/src/drain_watch/tests.rs
+++ b/crates/fault-injection/src/drain_watch/tests.rs
@@ -1,4 +1,4 @@
-//! By when nothing new may be sent to servers that drain.
+//! Tests of the deadlines for new requests to draining servers.
 
 use super::*;
 
@@ -33,7 +33,7 @@
     assert_eq!(deadlines.deadline(0, 3), None);
     assert_eq!(deadlines.deadline(1, 3), Some(start + ms(1000)));
     deadlines.set_reachable(0, true, start + ms(5000));
-    // It can still be reached.
+    // A repeated report that discovery is reachable does not restart the time.
     deadlines.set_reachable(0, true, start + ms(6000));
     assert_eq!(deadlines.deadline(0, 3), Some(start + ms(5800)));
 }
@@ -53,7 +53,7 @@
     watch.on_data(0, 1, request, late);
     assert_eq!(account.report().sent_to_draining, 0);
     watch.on_data(0, 0, request, late);
-    // The system may take less than the first line.
+    // A single write may pass on less than the first line.
     watch.on_data(0, 0, b"G", late);
     let report = account.report();
     assert_eq!(report.sent_to_draining, 2);
--- a/crates/fault-injection/src/expectations.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -1,4 +1,5 @@
-//! What must hold in a run: bounds on metrics of the account and of the sidecars, over a span of time. No I/O.
+//! The expectations of a run: bounds on metrics of the account and of the sidecars over a span of time. This module
+//! does no I/O.
 
 use std::collections::BTreeSet;
 
@@ -12,42 +13,42 @@
 #[cfg(test)]
 mod tests;
 
-/// A sidecar's metric is compared with its reference over this many seconds before each sample.
+/// The length of the span before each sample over which a sidecar metric's reference is computed, in seconds.
 const REFERENCE_WINDOW_S: f64 = 2.0;
 /// Tolerance for rounding when samples are looked up by time, in seconds.
 const TIME_TOLERANCE_S: f64 = 1e-9;
 
-/// One thing that must hold.
+/// A condition on a metric that must hold over a span of a run.
 #[derive(Clone, Debug)]
 pub struct Expectation {
-    /// What is measured.
+    /// The metric.
     pub metric: Metric,
-    /// The sidecars whose own metrics are looked at.
+    /// The sidecars whose own metrics are observed.
     pub sidecars: BTreeSet<u16>,
     /// The beginning of the span, in seconds from the start of the run.
     pub from_s: f64,
     /// The end of the span, in seconds from the start of the run.
     pub to_s: f64,
-    /// The lower bound.
+    /// The lower bound. `None` means unbounded.
     pub min: Option<f64>,
-    /// The upper bound.
+    /// The upper bound. `None` means unbounded.
     pub max: Option<f64>,
     /// Another metric that this one must be close to.
     pub reference: Option<Reference>,
-    /// The line in the file, from 1.
+    /// The line of the expectation in the file, from 1.
     pub line: usize,
 }
 
-/// A metric that another one must be close to.
+/// A metric that another one is compared with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reference {
     /// The metric to compare with.
     pub metric: Metric,
-    /// The greatest difference, as a share of the metric's value.
+    /// The maximum difference, as a share of the reference value.
     pub tolerance: f64,
 }
 
-/// Whether an expectation held, and what was seen.
+/// The result of an expectation, with the observed values.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// The line of the expectation in the file, from 1.
@@ -55,32 +56,32 @@
     /// The name of the metric.
     #[serde(rename = "figure")]
     pub metric: String,
-    /// Whether it held.
+    /// Whether the expectation held.
     #[serde(rename = "held")]
     pub passed: bool,
-    /// The least value that was seen.
+    /// The minimum of the observed values.
     #[serde(rename = "least")]
     pub min: f64,
-    /// The greatest value that was seen.
+    /// The maximum of the observed values.
     #[serde(rename = "most")]
     pub max: f64,
-    /// The number of values that were seen.
+    /// The number of observed values.
     #[serde(rename = "looks")]
     pub observations: usize,
-    /// The first value that was out of bounds, in words.
+    /// A description of the first value that was out of bounds. `None` if all were within.
     #[serde(rename = "why")]
     pub reason: Option<String>,
 }
 
 /// The value of a reference metric at the time of an observation.
 struct ReferenceValue {
-    /// None: the metric has no value there.
+    /// The value. `None` if the metric has no value at that time.
     value: Option<f64>,
     tolerance: f64,
 }
 
 impl Expectation {
-    /// Evaluates all samples of a run. An expectation without any observation has failed.
+    /// Evaluates the samples of a run. An expectation without any observation fails.
     pub fn evaluate(&self, samples: &[Sample]) -> Verdict {
         let mut verdict = Verdict {
             line: self.line,
@@ -102,7 +103,7 @@
         verdict
     }
 
-    /// Observes a sidecar metric of every chosen sidecar in every sample of the span.
+    /// Observes a sidecar metric of every selected sidecar in every sample of the span.
     fn evaluate_each_sample(&self, name: &str, samples: &[Sample], verdict: &mut Verdict) {
         let sidecar_count = sidecar_count(samples);
         for sample in samples.iter().filter(|s| (self.from_s..=self.to_s).contains(&s.at_s)) {
@@ -170,7 +171,7 @@
     samples.first().map_or(0, |sample| sample.sidecar_metrics.len())
 }
 
-/// The last sample that was taken by this time.
+/// Returns the last sample that was taken by this time.
 fn sample_at(samples: &[Sample], seconds: f64) -> Option<&Sample> {
     samples.iter().rev().find(|sample| sample.at_s <= seconds + TIME_TOLERANCE_S)
 }
--- a/crates/fault-injection/src/expectations/metric.rs
+++ b/crates/fault-injection/src/expectations/metric.rs
@@ -1,4 +1,4 @@
-//! The metrics that expectations are about.
+//! The metrics that expectations refer to.
 
 use std::fmt;
 
@@ -7,26 +7,28 @@
 /// A metric of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Metric {
-    /// Rules broken since the start.
+    /// The violations since the start.
     Violations,
-    /// The share of the operations of a tenant (by its number; none: of all) that ended this way within the span.
+    /// The share of the operations of a tenant, given by index, that ended this way within the span. `None` means all
+    /// tenants.
     Share(Completion, Option<usize>),
-    /// The operations per second of a tenant (by its number; none: of all) that ended this way within the span.
+    /// The operations per second of a tenant, given by index, that ended this way within the span. `None` means all
+    /// tenants.
     Rate(Completion, Option<usize>),
     /// Gossip bytes delivered per second and sidecar.
     GossipBytes,
-    /// Attempts that servers saw beyond one for each attempt of a client, as a share of the latter.
+    /// The attempts at servers in excess of the attempts of clients, as a share of the latter.
     RetryShare,
-    /// A metric that sidecars report of themselves, in each sample of the span.
+    /// A metric that sidecars report about themselves, in each sample of the span.
     Sidecar(String),
     /// The growth per second of a counter that sidecars report, summed over all of them.
     SidecarRate(String),
 }
 
-/// How operations ended.
+/// The outcome of operations that a metric counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// In any way, or not yet.
+    /// Any outcome, or none yet.
     Any,
     /// Served.
     Served,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The name in journals.
+    /// Returns the name in journals.
     fn stored_name(self) -> &'static str {
         match self {
             Completion::Any => "Asked",
@@ -61,7 +63,7 @@
     }
 }
 
-/// A name that no metric has.
+/// No metric has this name.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "{name:?} is none of broken, served_share, in_time_share, refused_share, failed_share, repeats_share, \
@@ -72,7 +74,7 @@
     pub name: String,
 }
 
-/// The name as it is written into journals, which earlier versions of this program wrote as well.
+/// Writes the name that journals contain. It must not change, so that older journals stay readable.
 impl fmt::Display for Metric {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -92,7 +94,7 @@
 }
 
 impl Metric {
-    /// The metric that has this name in files; `tenant` is the number of the tenant that it is of.
+    /// Returns the metric with this name in scenario files. `tenant` is the index of its tenant, or `None` for all.
     ///
     /// # Errors
     ///
@@ -116,7 +118,8 @@
         })
     }
 
-    /// The value over the span between two samples. [`Metric::Sidecar`] has none, since each sidecar has its own.
+    /// Returns the value over the span between two samples. [`Metric::Sidecar`] has none, because it has a value for
+    /// each sidecar.
     pub fn between(&self, from: &Sample, to: &Sample, sidecar_count: usize) -> Option<f64> {
         let seconds = to.at_s - from.at_s;
         let value = match self {
@@ -144,7 +147,7 @@
     }
 }
 
-/// The operations that ended this way between two samples.
+/// Returns the number of operations that ended this way between two samples.
 fn completed(
     completion: Completion,
     tenant: Option<usize>,
@@ -158,13 +161,13 @@
     Some(completion.count(&totals(to)?) as f64 - completion.count(&totals(from)?) as f64)
 }
 
-/// How much a counter of the sidecars has grown, over all that reported it in the second sample.
+/// Returns the growth of a counter between two samples, summed over the sidecars that reported it in the second one.
 fn sidecar_growth(counter: &str, from: &Sample, to: &Sample) -> Option<f64> {
     let value = |metrics: &Option<SidecarMetrics>| metrics.as_ref()?.get(counter).copied();
     let mut growth = None;
     for (from, to) in from.sidecar_metrics.iter().zip(&to.sidecar_metrics) {
         if let Some(to) = value(to) {
-            // The counter of a sidecar that was restarted counts from zero.
+            // The counter of a restarted sidecar starts from zero.
             let from = value(from).filter(|from| *from <= to).unwrap_or(0.0);
             growth = Some(growth.unwrap_or(0.0) + to - from);
         }
--- a/crates/fault-injection/src/gossip_relay.rs
+++ b/crates/fault-injection/src/gossip_relay.rs
@@ -1,8 +1,8 @@
-//! The relay for gossip datagrams between sidecars.
+//! A relay for gossip datagrams between sidecars.
 //!
-//! It has one socket for each sidecar, and one for datagrams to all of them. A datagram's sender is known by its
-//! source address, its receiver by the socket it arrives at. It leaves through the sender's own relay socket, so
-//! that every sidecar sees every other one at a single address.
+//! It has one socket for each sidecar, and one for datagrams to all of them. The source address identifies the sender
+//! of a datagram, and the socket that it arrives at identifies the receiver. The datagram is forwarded from the
+//! sender's relay socket, so that every sidecar sees every other one at a single address.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -20,15 +20,15 @@
 use crate::links::{Delivery, LinkSampler, Node};
 use crate::network::Network;
 
-/// The most datagrams that are delayed at a time; more are dropped.
+/// The maximum number of delayed datagrams at a time. Further ones are dropped.
 const MAX_DELAYED: usize = 65_536;
-/// The longest datagram in bytes; a longer one is truncated when it is read, and so lost.
+/// The maximum length of a datagram in bytes. A longer one is truncated when read, and so lost.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The datagrams that have passed so far, over all links.
+/// The datagram counts of all links since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct DatagramCounts {
-    /// Datagrams sent; one to all counts once for each receiver.
+    /// Datagrams sent. A datagram to all sidecars counts once for each receiver.
     pub sent: u64,
     /// Datagrams delivered.
     #[serde(rename = "arrived")]
@@ -47,9 +47,9 @@
     overflowed: AtomicU64,
 }
 
-/// A running relay. Dropping it stops its tasks.
+/// A running relay. It stops when dropped.
 pub struct GossipRelay {
-    /// The address of each sidecar as all others see it.
+    /// The address of each sidecar as the others see it.
     pub peers: Vec<SocketAddr>,
     /// The address for datagrams to all other sidecars.
     pub broadcast: SocketAddr,
@@ -70,7 +70,7 @@
     counts: AtomicCounts,
 }
 
-/// A datagram on its way, ordered by due time and then by the order of sending.
+/// A datagram in flight, ordered by due time and then by the order of sending.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDatagram {
     due: Instant,
@@ -113,7 +113,7 @@
         Ok(GossipRelay { peers, broadcast, shared, tasks })
     }
 
-    /// The datagrams that have passed so far.
+    /// Returns the datagram counts so far.
     pub fn counts(&self) -> DatagramCounts {
         let counts = &self.shared.counts;
         DatagramCounts {
@@ -132,11 +132,11 @@
 }
 
 impl Shared {
-    /// Receives datagrams for one sidecar. Ones from unknown senders are ignored.
+    /// Receives datagrams for one sidecar. Datagrams from unknown senders are ignored.
     async fn receive_for(self: Arc<Shared>, to: usize) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error is about a datagram that was sent before, to a port that nobody reads.
+            // An error reports that an earlier datagram was sent to a port without a reader.
             let Ok((n, from)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
             if let Some(&from) = self.numbers.get(&from) {
                 self.send(from, to as u16, &buffer[..n]);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Receives datagrams that are for all sidecars but their sender.
+    /// Receives datagrams for all sidecars except their sender.
     async fn receive_for_all(self: Arc<Shared>, socket: UdpSocket) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Delivers what is due by now; returns when the next one is due.
+    /// Delivers all datagrams that are due, and returns the time at which the next one is due.
     fn deliver_due(&self) -> Option<Instant> {
         loop {
             let mut delayed = self.delayed.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/fault-injection/src/html_report.rs
+++ b/crates/fault-injection/src/html_report.rs
@@ -1,4 +1,4 @@
-//! The HTML report of a run: plots, events and verdicts on one page that needs no network.
+//! The HTML report of a run: plots, events and verdicts on one self-contained page.
 
 use std::fmt::Write as _;
 
@@ -11,9 +11,9 @@
 
 /// The size of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 260);
-/// The most sidecar metrics that are plotted.
+/// The maximum number of sidecar metrics that are plotted.
 const MAX_SIDECAR_METRICS: usize = 40;
-/// The longest text of an action, in characters.
+/// The maximum length of an action's text, in characters.
 const MAX_ACTION_CHARS: usize = 200;
 const EVENT_COLOUR: RGBColor = RGBColor(190, 190, 190);
 const LINE_COLOURS: [RGBColor; 6] = [
@@ -32,11 +32,11 @@
 /// A line of a plot.
 struct Line {
     name: String,
-    /// Seconds from the start of the run, and values.
+    /// Pairs of seconds from the start of the run and values.
     points: Vec<(f64, f64)>,
 }
 
-/// The page for a run.
+/// Returns the HTML report of a run.
 pub fn html(scenario: &Scenario, outcome: &Outcome) -> String {
     let mut page = String::from(HEAD);
     heading(&mut page, scenario, outcome);
@@ -44,12 +44,12 @@
     events(&mut page, scenario);
     page.push_str("<h2>Figures</h2>");
     let samples = &outcome.samples;
-    plot(&mut page, scenario, "operations a second", rates(samples));
-    plot(&mut page, scenario, "served a second, by tenant", tenant_rates(scenario, samples));
-    plot(&mut page, scenario, "notes: bytes a second and sidecar", gossip_bytes(samples));
+    plot(&mut page, scenario, "operations per second", rates(samples));
+    plot(&mut page, scenario, "served per second, by tenant", tenant_rates(scenario, samples));
+    plot(&mut page, scenario, "gossip: bytes per second and sidecar", gossip_bytes(samples));
     for name in sidecar_metric_names(samples) {
         let lines = sidecar_metric(samples, &name);
-        plot(&mut page, scenario, &format!("own figure {name}"), lines);
+        plot(&mut page, scenario, &format!("sidecar metric {name}"), lines);
     }
     page.push_str("</body></html>\n");
     page
@@ -76,7 +76,7 @@
     );
     outcome.verdicts.iter().for_each(|verdict| verdict_row(page, verdict));
     let violations = outcome.account.violations();
-    let _ = write!(page, "</table><p>Rules broken: {violations}.</p><ul>");
+    let _ = write!(page, "</table><p>Violations: {violations}.</p><ul>");
     for text in outcome.account.examples.iter().chain(&outcome.problems) {
         let _ = write!(page, "<li>{}</li>", escape(text));
     }
@@ -98,7 +98,7 @@
 }
 
 fn events(page: &mut String, scenario: &Scenario) {
-    page.push_str("<h2>What happened</h2><table><tr><th>s</th><th>what</th></tr>");
+    page.push_str("<h2>Events</h2><table><tr><th>s</th><th>action</th></tr>");
     for event in &scenario.events {
         let action = serde_json::to_string(&event.action).unwrap_or_default();
         let action: String = action.chars().take(MAX_ACTION_CHARS).collect();
@@ -107,7 +107,7 @@
     page.push_str("</table>");
 }
 
-/// Operations per second by how they ended.
+/// Returns the operations per second by outcome.
 fn rates(samples: &[Sample]) -> Vec<Line> {
     let completions = [
         ("asked", Completion::Any),
@@ -117,7 +117,7 @@
     completions.map(|(name, completion)| rate(samples, name, completion, None)).into()
 }
 
-/// Served operations per second by tenant.
+/// Returns the served operations per second by tenant.
 fn tenant_rates(scenario: &Scenario, samples: &[Sample]) -> Vec<Line> {
     let line =
         |(n, tenant): (usize, &Tenant)| rate(samples, &tenant.name, Completion::Served, Some(n));
@@ -138,7 +138,7 @@
     vec![Line { name: "bytes".to_owned(), points }]
 }
 
-/// A value for each pair of samples that are a second apart.
+/// Returns a value for each pair of samples that are a second apart.
 fn differences(
     samples: &[Sample],
     value: impl Fn(&Sample, &Sample) -> Option<f64>,
@@ -148,7 +148,7 @@
     pairs.filter_map(|(a, b)| Some((b.at_s, value(a, b)?))).collect()
 }
 
-/// The least, median and greatest value of a sidecar metric over all sidecars.
+/// Returns the minimum, median and maximum of a sidecar metric over all sidecars.
 fn sidecar_metric(samples: &[Sample], name: &str) -> Vec<Line> {
     let line = |pick: fn(&[f64]) -> f64, label: &str| Line {
         name: label.to_owned(),
@@ -164,7 +164,7 @@
     ]
 }
 
-/// The values of a metric over all sidecars that have reported it, in ascending order.
+/// Returns the values of a metric of all sidecars that have reported it, in ascending order.
 fn sorted_values(sample: &Sample, name: &str) -> Option<Vec<f64>> {
     let reported = sample.sidecar_metrics.iter().flatten();
     let mut values: Vec<f64> = reported.filter_map(|metrics| metrics.get(name).copied()).collect();
@@ -181,7 +181,7 @@
     names
 }
 
-/// Adds a plot with a legend. If it cannot be drawn, the reason takes its place.
+/// Adds a plot with a legend. If it cannot be drawn, adds the error instead.
 fn plot(page: &mut String, scenario: &Scenario, title: &str, lines: Vec<Line>) {
     let mut svg = String::new();
     match draw(&mut svg, scenario, title, &lines) {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,14 +1,15 @@
-//! Fault injection: many real sidecars on loopback, with faults between them.
+//! Fault injection for many real sidecars on loopback.
 //!
 //! Each sidecar is a process of the real program. Log servers, discovery and clients are fakes. Every link between
 //! two nodes goes through a relay that can delay, lose, duplicate, corrupt or block its traffic. A scenario file
-//! says which nodes there are, what load they get, which faults happen when, and what must hold.
+//! defines the nodes, their load, the faults with their times, and the expectations.
 //!
-//! - [`scenario`], [`links`] and [`expectations`] compute, without I/O.
-//! - [`drain_watch`] judges what sidecars send to servers that drain.
+//! - [`scenario`], [`links`] and [`expectations`] are pure computation without I/O.
+//! - [`drain_watch`] checks that sidecars send no new requests to draining servers.
 //! - [`network`], [`gossip_relay`], [`relay`] and [`processes`] are the parts of a testbed.
-//! - [`soak`] draws scenarios with overlapping faults from a seed, and judges them by the protocol's rules.
-//! - [`testbed`] puts these together, [`runner`] plays a scenario on it, [`html_report`] shows the outcome.
+//! - [`soak`] generates scenarios with overlapping faults from a seed, and checks the runs against the protocol's
+//!   rules.
+//! - [`testbed`] combines these, [`runner`] runs a scenario on it, and [`html_report`] renders the outcome.
 
 pub mod drain_watch;
 pub mod expectations;
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,6 +1,6 @@
-//! The links between the nodes of a run, and what happens to the traffic on them.
+//! The links between the nodes of a run, and the impairments of their traffic.
 //!
-//! Everything here is computed: there is no I/O, and the only clock is the one that callers pass in.
+//! This module does no I/O. Callers pass in the time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,10 +22,10 @@
     Discovery,
 }
 
-/// What a link does to the traffic of one direction. The terms are those of tc-netem(8).
+/// The impairment of one direction of a link. The terms are those of tc-netem(8).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Impairment {
-    /// Nothing passes.
+    /// Whether nothing passes.
     pub cut: bool,
     /// Added latency.
     pub delay: Duration,
@@ -35,7 +35,7 @@
     pub loss: f64,
     /// The share of datagrams that arrive twice, from 0 to 1.
     pub duplicate: f64,
-    /// The share of datagrams that arrive after ones that were sent later, from 0 to 1.
+    /// The share of datagrams that arrive after later ones, from 0 to 1.
     pub reorder: f64,
     /// The share of datagrams in which one byte is changed, from 0 to 1.
     pub corrupt: f64,
@@ -43,28 +43,29 @@
     pub rate: u64,
 }
 
-/// The longest delay of a link that hardly matters.
+/// The longest delay of a link that counts as slight.
 const SLIGHT_DELAY: Duration = Duration::from_millis(50);
-/// How much later a reordered datagram arrives, on top of delay and jitter.
+/// The delay of a reordered datagram, on top of delay and jitter.
 pub const REORDER_DELAY: Duration = Duration::from_millis(30);
-/// The longest time that a datagram queues on a link with limited bandwidth; beyond it, it is dropped.
+/// The longest time that a datagram queues on a link with limited bandwidth. Datagrams that would queue for longer are
+/// dropped.
 pub const MAX_QUEUE_DELAY: Duration = Duration::from_millis(500);
-/// The delay of a retransmission: what a lost packet costs a connection.
+/// The delay of a connection's data by the retransmission of a lost packet.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
 impl Impairment {
-    /// A link on which nothing passes.
+    /// Returns the impairment of a link on which nothing passes.
     pub fn cut() -> Impairment {
         Impairment { cut: true, ..Impairment::default() }
     }
 
-    /// Whether what is sent arrives, and so soon that it hardly matters.
+    /// Returns whether data arrives without loss and with a delay of at most 50 ms.
     pub fn is_slight(&self) -> bool {
         let passes = !self.cut && self.loss == 0.0 && self.rate == 0;
         passes && self.delay + self.jitter <= SLIGHT_DELAY
     }
 
-    /// The impairment of two links in series.
+    /// Returns the impairment of two links in series.
     #[must_use]
     pub fn and(self, other: Impairment) -> Impairment {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
@@ -84,18 +85,18 @@
     }
 }
 
-/// An impairment that a fault has put on the links between two sets of nodes.
+/// An impairment that a fault causes on the links between two sets of nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveFault {
-    /// The number of the fault that it belongs to.
+    /// The number of the fault that causes it.
     pub fault: usize,
     /// The senders.
     pub from: BTreeSet<Node>,
     /// The receivers.
     pub to: BTreeSet<Node>,
-    /// Whether it is on the opposite direction as well.
+    /// Whether it applies to the opposite direction as well.
     pub both_directions: bool,
-    /// What it does.
+    /// The impairment.
     pub impairment: Impairment,
 }
 
@@ -106,17 +107,17 @@
     }
 }
 
-/// The present state of all links.
+/// The current state of all links.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Links {
-    /// What every link does, without any fault.
+    /// The impairment of every link without faults.
     baseline: Impairment,
     active: Vec<ActiveFault>,
     unreachable: BTreeSet<Node>,
 }
 
 impl Links {
-    /// Links that all have this impairment.
+    /// Creates links that all have this impairment.
     pub fn with_baseline(baseline: Impairment) -> Links {
         Links { baseline, ..Links::default() }
     }
@@ -126,7 +127,7 @@
         self.active.push(fault);
     }
 
-    /// Removes everything that the fault of this number has added.
+    /// Removes the impairments of the fault with this number.
     pub fn clear(&mut self, fault: usize) {
         self.active.retain(|active| active.fault != fault);
     }
@@ -136,23 +137,23 @@
         self.unreachable.insert(node);
     }
 
-    /// Lets connections to a node come up again.
+    /// Stops refusing connections to a node.
     pub fn bring_up(&mut self, node: Node) {
         self.unreachable.remove(&node);
     }
 
-    /// Whether connections to a node are refused.
+    /// Returns whether connections to a node are refused.
     pub fn is_down(&self, node: Node) -> bool {
         self.unreachable.contains(&node)
     }
 
-    /// What the link from one node to another does.
+    /// Returns the impairment of the link from one node to another.
     pub fn impairment(&self, from: Node, to: Node) -> Impairment {
         let affecting = self.active.iter().filter(|active| active.affects(from, to));
         affecting.fold(self.baseline, |sum, active| sum.and(active.impairment))
     }
 
-    /// Whether no connection can come up between two nodes, because a direction is cut.
+    /// Returns whether no connection can be established between two nodes because a direction is cut.
     pub fn is_partitioned(&self, a: Node, b: Node) -> bool {
         self.impairment(a, b).cut || self.impairment(b, a).cut
     }
@@ -163,7 +164,7 @@
 pub struct Corruption {
     /// The byte's offset in the datagram.
     pub offset: usize,
-    /// What the byte is XORed with.
+    /// The value that the byte is XORed with.
     pub mask: u8,
 }
 
@@ -176,16 +177,15 @@
     pub corruption: Option<Corruption>,
 }
 
-/// Draws what happens to the packets of one direction of a link, one after the other. The same seed and nodes give
-/// the same draws.
+/// Draws the fate of each packet in one direction of a link. The same seed and nodes give the same draws.
 pub struct LinkSampler {
     rng: SmallRng,
-    /// When the last byte of what was sent before has left, on the clock of the callers' `now`.
+    /// The time at which the last byte sent so far has left, on the clock of the callers' `now`.
     busy_until: Duration,
 }
 
 impl LinkSampler {
-    /// A sampler for the direction from one node to another.
+    /// Creates a sampler for the direction from one node to another.
     pub fn new(seed: u64, from: Node, to: Node) -> LinkSampler {
         let number = |node| match node {
             Node::Sidecar(n) => u64::from(n),
@@ -196,14 +196,14 @@
         LinkSampler { rng: SmallRng::seed_from_u64(seed), busy_until: Duration::ZERO }
     }
 
-    /// How a datagram of `bytes` bytes arrives that is sent at `now`: not at all, once or twice.
+    /// Draws the deliveries of a datagram of `bytes` bytes that is sent at `now`: none, one or two.
     pub fn datagram(
         &mut self,
         impairment: &Impairment,
         now: Duration,
         bytes: usize,
     ) -> Vec<Delivery> {
-        // Everything is drawn each time, so that the draws for a datagram do not depend on what happened to others.
+        // All values are drawn each time, so that the draws for a datagram do not depend on the fate of earlier ones.
         let [loss, duplicate, reorder, corrupt]: [f64; 4] = self.rng.random();
         let offset = self.rng.random_range(0..bytes.max(1));
         let mask = self.rng.random_range(1..=u8::MAX);
@@ -222,7 +222,7 @@
         jitters[..copies].iter().map(|j| Delivery { delay: delay(j), corruption }).collect()
     }
 
-    /// The delay of a segment of a connection that is sent at `now`. A lost one is retransmitted.
+    /// Draws the delay of a segment of a connection that is sent at `now`. A lost segment is retransmitted.
     pub fn segment_delay(
         &mut self,
         impairment: &Impairment,
@@ -236,8 +236,8 @@
         queued + impairment.delay + impairment.jitter.mul_f64(jitter) + retransmission
     }
 
-    /// How long what is sent at `now` queues and takes to pass. What would take longer than `limit` uses no
-    /// bandwidth.
+    /// Returns the queueing and transmission time of data that is sent at `now`. Data that would take longer than
+    /// `limit` uses no bandwidth.
     fn queue_delay(&mut self, rate: u64, now: Duration, bytes: usize, limit: Duration) -> Duration {
         if rate == 0 {
             return Duration::ZERO;
--- a/crates/fault-injection/src/links/tests.rs
+++ b/crates/fault-injection/src/links/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of links and of what is drawn for their traffic.
+//! Tests of links and of the draws for their traffic.
 
 use super::*;
 
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -1,4 +1,4 @@
-//! The links of a run and the addresses of its nodes, shared by everything that takes part in it.
+//! The links of a run and the addresses of its nodes, shared by all parts of the testbed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 }
 
 impl Network {
-    /// A network with these links; `seed` determines what is drawn for its traffic.
+    /// Creates a network with these links. `seed` determines the random choices for its traffic.
     pub fn new(links: Links, seed: u64) -> Network {
         Network(Arc::new(Inner {
             links: watch::Sender::new(links),
@@ -34,7 +34,7 @@
         }))
     }
 
-    /// Calls `read` with the present links.
+    /// Calls `read` with the current links.
     pub fn links<T>(&self, read: impl FnOnce(&Links) -> T) -> T {
         read(&self.0.links.borrow())
     }
@@ -44,18 +44,18 @@
         self.0.links.send_modify(change);
     }
 
-    /// A receiver of the links that is notified of every update.
+    /// Returns a receiver of the links that is notified of every update.
     pub fn subscribe(&self) -> watch::Receiver<Links> {
         self.0.links.subscribe()
     }
 
     /// Waits until the links satisfy `condition`.
     pub async fn wait_until(&self, condition: impl Fn(&Links) -> bool) {
-        // This cannot fail: the sender lives as long as `self`.
+        // `wait_for` cannot fail: the sender lives as long as `self`.
         let _ = self.subscribe().wait_for(|links| condition(links)).await;
     }
 
-    /// The address of a node, once it is known.
+    /// Returns the address of a node, or `None` if it is not known yet.
     pub fn address(&self, node: Node) -> Option<SocketAddr> {
         self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(&node).copied()
     }
@@ -65,22 +65,22 @@
         self.0.addresses.lock().unwrap_or_else(PoisonError::into_inner).insert(node, address);
     }
 
-    /// Has everything that sidecars send to servers watched. Only the first watch counts.
+    /// Sets the watch of the data that sidecars send to servers. Later calls have no effect.
     pub fn watch_drains(&self, watch: DrainWatch) {
         let _ = self.0.drain_watch.set(watch);
     }
 
-    /// What watches that sidecars send to servers, if anything does.
+    /// Returns the watch of the data that sidecars send to servers, if there is one.
     pub fn drain_watch(&self) -> Option<&DrainWatch> {
         self.0.drain_watch.get()
     }
 
-    /// The seed of what is drawn for the traffic.
+    /// Returns the seed of the random choices for the traffic.
     pub fn seed(&self) -> u64 {
         self.0.seed
     }
 
-    /// The time since the network was created.
+    /// Returns the time since the network was created.
     pub fn elapsed(&self) -> Duration {
         self.0.started.elapsed()
     }
--- a/crates/fault-injection/src/processes.rs
+++ b/crates/fault-injection/src/processes.rs
@@ -1,6 +1,6 @@
-//! The sidecars' processes: started, paused, throttled, terminated and restarted, each by its own process id.
+//! Starts, pauses, throttles, terminates and restarts the sidecars' processes, each by its own process id.
 //!
-//! They end with the process that has started them, however that ends.
+//! They end together with the process that started them, however that one ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -16,9 +16,9 @@
 
 /// The period within which a throttled process runs once and is paused once.
 const THROTTLE_PERIOD: Duration = Duration::from_millis(20);
-/// The least share of the time that a throttled process runs.
+/// The minimum share of the time for which a throttled process runs.
 const MIN_THROTTLE_SHARE: f64 = 0.05;
-/// How often the search for a port that is free for TCP and UDP is repeated.
+/// The maximum number of retries to find a port that is free for both TCP and UDP.
 const MAX_PORT_RETRIES: usize = 17;
 
 struct SpawnRequest {
@@ -26,15 +26,15 @@
     spawned: mpsc::SyncSender<io::Result<Child>>,
 }
 
-/// Spawns processes from a single thread that lives as long as this handle. The guard program binds a process to
-/// the thread that has spawned it, so that must not be a short-lived one.
+/// Spawns processes from a single thread that lives as long as this handle. The guard program ties a process to the
+/// lifetime of the thread that spawned it, so that thread must not be short-lived.
 pub struct ProcessSpawner {
     guard: PathBuf,
     requests: mpsc::Sender<SpawnRequest>,
 }
 
 impl ProcessSpawner {
-    /// A spawner that starts every program through the process guard at this path.
+    /// Creates a spawner that starts every program through the process guard at this path.
     pub fn new(guard: PathBuf) -> ProcessSpawner {
         let (requests, received) = mpsc::channel::<SpawnRequest>();
         thread::spawn(move || {
@@ -57,18 +57,18 @@
         command.envs(env).env_remove("NOTIFY_SOCKET").env_remove("LB_LISTEN").env_remove("LB_NAME");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let (spawned, answer) = mpsc::sync_channel(1);
-        let thread_ended = || io::Error::other("the thread that starts processes is gone");
+        let thread_ended = || io::Error::other("the thread that spawns processes has ended");
         self.requests.send(SpawnRequest { command, spawned }).map_err(|_| thread_ended())?;
         answer.recv().map_err(|_| thread_ended())?
     }
 }
 
-/// A sidecar's process, or the place of one that does not run. Dropping it kills the process.
+/// The process of a sidecar, which may not be running. Dropping it kills the process.
 pub struct Process {
     child: Option<Child>,
     throttle: Option<Throttle>,
     directory: PathBuf,
-    /// How often its system calls fail; none: they are left alone.
+    /// The failure rates of its system calls. `None` if no faults are injected.
     system_calls: Option<FaultRates>,
 }
 
@@ -79,23 +79,24 @@
 }
 
 impl Process {
-    /// A process that is not started yet. `directory` holds its configuration, log and state, and no other's.
+    /// Creates a process that is not started yet. `directory` holds its configuration, log and state, and must not be
+    /// shared with others.
     pub fn new(directory: PathBuf) -> Process {
         Process { child: None, throttle: None, directory, system_calls: None }
     }
 
-    /// From its next start on, its system calls fail at these rates.
+    /// Makes its system calls fail at these rates from its next start on.
     #[must_use]
     pub fn with_system_calls(mut self, system_calls: Option<FaultRates>) -> Process {
         self.system_calls = system_calls;
         self
     }
 
-    /// Sets its wall clock ahead by so many seconds, if its system calls are not left alone.
+    /// Sets its wall clock ahead by a number of seconds. Has no effect without faulty system calls.
     ///
     /// # Errors
     ///
-    /// When the file that tells it cannot be written.
+    /// When the file with the offset cannot be written.
     pub fn step_clock(&self, seconds: i64) -> io::Result<()> {
         let new = self.directory.join("clock.new");
         std::fs::write(&new, seconds.to_string())?;
@@ -106,21 +107,21 @@
         self.directory.join("clock")
     }
 
-    /// The path of its log.
+    /// Returns the path of its log.
     pub fn log_path(&self) -> PathBuf {
         self.directory.join("log")
     }
 
-    /// The path of its configuration file.
+    /// Returns the path of its configuration file.
     pub fn configuration_path(&self) -> PathBuf {
         self.directory.join("config.json")
     }
 
-    /// Starts it. `discard_state` deletes what an earlier process in this place has stored.
+    /// Starts the process. `discard_state` deletes the state that an earlier process in its directory has stored.
     ///
     /// # Errors
     ///
-    /// When it already runs, or the system refuses to start it.
+    /// When it is already running, or the system cannot start it.
     pub fn start(
         &mut self,
         spawner: &ProcessSpawner,
@@ -128,7 +129,7 @@
         discard_state: bool,
     ) -> io::Result<()> {
         if self.id().is_some() {
-            return Err(io::Error::other("it runs"));
+            return Err(io::Error::other("the process is already running"));
         }
         let state = self.directory.join("tmp");
         if discard_state {
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// Its process id while it runs.
+    /// Returns its process id, or `None` if it is not running.
     ///
     /// The system may reuse the id once the process has been waited for, so only `kill` waits for it.
     pub fn id(&self) -> Option<u32> {
@@ -154,14 +155,14 @@
         matches!(waitid(WaitId::Pid(pid), options), Ok(None)).then_some(id)
     }
 
-    /// Sends it a signal, if it runs.
+    /// Sends it a signal, if it is running.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.id() {
             send_signal(id, signal);
         }
     }
 
-    /// Kills it and waits for its end. Returns the status with which it had exited before, if it had.
+    /// Kills it and waits for its end. Returns its exit status if it had exited before.
     pub fn kill(&mut self) -> Option<ExitStatus> {
         self.unthrottle();
         let exited = self.has_exited();
@@ -170,7 +171,7 @@
         child.wait().ok().filter(|_| exited)
     }
 
-    /// How many descriptors it has open, and its resident memory in KiB; none if it does not run.
+    /// Returns the number of its open descriptors, and its resident memory in KiB. `None` if it is not running.
     pub fn descriptors_and_memory(&self) -> Option<(u64, u64)> {
         let process = PathBuf::from(format!("/proc/{}", self.id()?));
         let descriptors = std::fs::read_dir(process.join("fd")).ok()?.count();
@@ -180,12 +181,12 @@
         Some((descriptors as u64, memory_kib))
     }
 
-    /// Whether it was started and has exited without being killed through this handle.
+    /// Returns whether it was started and has exited without being killed through this handle.
     pub fn has_exited(&self) -> bool {
         self.child.is_some() && self.id().is_none()
     }
 
-    /// From now on it runs for this share of the time, by being paused and resumed.
+    /// Makes it run for this share of the time only, by pausing and resuming it.
     pub fn throttle(&mut self, share: f64) {
         self.unthrottle();
         let Some(id) = self.id() else { return };
@@ -227,17 +228,17 @@
     }
 }
 
-/// A loopback address that belongs to this process: it is made of the process id, which has at most 22 bits.
+/// Returns a loopback address that is unique to this process: it contains the process id, which has at most 22 bits.
 pub fn unique_loopback_address() -> IpAddr {
     let [_, a, b, c] = (std::process::id() % (1 << 22)).to_be_bytes();
     IpAddr::from([127, 64 + a, b, c])
 }
 
-/// The ports that this process has reserved so far. One that was given back is about to be used by the process that it
-/// was reserved for, and must not be reserved again meanwhile.
+/// The ports that this process has reserved so far. A released port must not be reserved again, because the process
+/// that it was reserved for is about to use it.
 static RESERVED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
 
-/// A port that is free for TCP and UDP, kept so while this lives, and never reserved twice.
+/// A port that is bound for TCP and UDP while this handle lives, and never reserved twice.
 pub struct ReservedPort {
     /// The reserved address.
     pub address: SocketAddr,
@@ -249,7 +250,7 @@
     ///
     /// # Errors
     ///
-    /// When none is free.
+    /// When no port is free.
     pub fn new(ip: IpAddr) -> io::Result<ReservedPort> {
         let mut retries = 0;
         loop {
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,6 +1,6 @@
-//! The relay for TCP connections from one sidecar to one server or to discovery.
+//! A relay for TCP connections from one sidecar to one server or to discovery.
 //!
-//! Data is delayed or held back, always in order. A connection's end and its reset are passed on like data.
+//! Data is delayed or held back, always in order. The end and the reset of a connection are forwarded like data.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,22 +19,22 @@
 use crate::links::{LinkSampler, Node};
 use crate::network::Network;
 
-/// The most connections of one relay.
+/// The maximum number of connections of one relay.
 const MAX_CONNECTIONS: usize = 256;
-/// The most segments in flight on one direction of a connection.
+/// The maximum number of segments in flight in one direction of a connection.
 const MAX_SEGMENTS: usize = 64;
-/// The longest segment in bytes.
+/// The maximum length of a segment in bytes.
 const MAX_SEGMENT_BYTES: usize = 16 << 10;
 /// The listener's backlog.
 const BACKLOG: i32 = 1024;
-/// The pause before something is retried that has failed for a moment.
+/// The pause before the retry of a transient failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// A connection on loopback comes up within this time, unless the backlog is full.
+/// The time within which a connection on loopback is established, unless the backlog is full.
 const BACKLOG_FULL_AFTER: Duration = Duration::from_millis(30);
-/// The most connections that fill a backlog of zero; the system grants one or two.
+/// The maximum number of connections that fill a backlog of zero. The system allows one or two.
 const MAX_FILLERS: usize = 4;
 
-/// A running relay. Dropping it ends it.
+/// A running relay. It stops when dropped.
 pub struct Relay {
     /// The address that the sidecar connects to.
     pub address: SocketAddr,
@@ -42,8 +42,8 @@
 }
 
 impl Relay {
-    /// Starts a relay between two nodes on the current runtime. It connects to the address that the network has for
-    /// `to` at that time.
+    /// Starts a relay between two nodes on the current runtime. Each connection goes to the address that the network
+    /// has for `to` at that time.
     ///
     /// # Errors
     ///
@@ -52,7 +52,7 @@
         Relay::start_with_target(network, from, to, None).await
     }
 
-    /// The same with a fixed target address.
+    /// Like [`start`](Self::start), with a fixed target address.
     ///
     /// # Errors
     ///
@@ -90,29 +90,29 @@
     network: Network,
     from: Node,
     to: Node,
-    /// The address of `to`; without it, that of the network.
+    /// The fixed address of `to`. If `None`, the network's address is used.
     target: Option<SocketAddr>,
     connections: Semaphore,
 }
 
-/// The listening socket of a relay, and what it takes to let no connection come up.
+/// The listening socket of a relay, and the means to refuse connections or to leave connection attempts unanswered.
 struct Gate {
     address: SocketAddr,
     listener: Option<TcpListener>,
-    /// Holds the port while there is no listener: connections are refused, and nobody else gets the port.
+    /// Holds the port while there is no listener: connections are refused, and no other process gets the port.
     refusing: Option<TcpSocket>,
     /// The relay's own connections that fill the backlog.
     fillers: Vec<TcpStream>,
-    /// The addresses of earlier fillers, whose connections are still to be accepted and ignored.
+    /// The addresses of earlier fillers, whose connections have yet to be accepted and ignored.
     former_fillers: Vec<SocketAddr>,
 }
 
 impl Gate {
-    /// Follows the state of the links: refuses connections while the target is `down`, and lets none come up while
-    /// there is a partition.
+    /// Applies the state of the links: refuses connections while the target is `down`, and leaves connection attempts
+    /// unanswered during a partition.
     async fn apply(&mut self, down: bool, partitioned: bool) {
         if down && !partitioned {
-            // Connections are refused, and closing the listener resets those that wait in its backlog.
+            // Closing the listener refuses new connections and resets those in its backlog.
             self.listener = None;
             self.fillers.clear();
             self.refusing = self.refusing.take().or_else(|| bind(self.address));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The next connection; `None` is the time to try to listen again.
+    /// Accepts the next connection. Returns `None` when it is time to try to listen again.
     async fn accept(
         &self,
         down: bool,
@@ -139,7 +139,7 @@
     ) -> Option<io::Result<(TcpStream, SocketAddr)>> {
         match &self.listener {
             Some(listener) if !partitioned => Some(listener.accept().await),
-            // Another process had taken the port for a moment.
+            // Another process holds the port, so listening has failed.
             None if !down => {
                 sleep(RETRY_PAUSE).await;
                 None
@@ -194,7 +194,7 @@
             let answers = self.direction(self.to, self.from, upstream_in, &mut downstream_out);
             tokio::try_join!(requests, answers)
         };
-        // A reset ends both directions, at both ends.
+        // A reset ends both directions on both sides.
         if both.await.is_err() {
             for out in [downstream_out, upstream_out] {
                 reset(out.as_ref());
@@ -233,7 +233,7 @@
             let mut data = vec![0; MAX_SEGMENT_BYTES];
             let read = tokio::select! {
                 read = input.read(&mut data) => read,
-                // The other end has been reset.
+                // The other side has been reset.
                 () = segments.closed() => return,
             };
             let content = match read {
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Shows what has left a sidecar for a server to what watches that.
+    /// Passes data from a sidecar to a server to the drain watch.
     fn watch(&self, from: Node, to: Node, data: &[u8]) {
         if let (Node::Sidecar(sidecar), Node::Server(server)) = (from, to)
             && let Some(watch) = self.network.drain_watch()
@@ -286,7 +286,7 @@
     }
 }
 
-/// A part of one direction of a connection, and when it arrives.
+/// A part of one direction of a connection, with its time of arrival.
 struct Segment {
     due: Instant,
     content: Content,
@@ -298,13 +298,14 @@
     Reset,
 }
 
-/// A socket at an address whose listener was closed. It does not listen, and no other socket can be bound there.
+/// Binds a socket to an address whose listener was closed. The socket does not listen, and no other socket can be bound
+/// to the address.
 fn bind(address: SocketAddr) -> Option<TcpSocket> {
     let socket = TcpSocket::new_v4().ok()?;
     socket.set_reuseaddr(true).ok()?;
     socket.bind(address).ok()?;
-    // Connections of the former listener may still have the port, so it takes reuse to bind; from then on, reuse
-    // would let others have it as well.
+    // Connections of the former listener may still use the port, so binding requires SO_REUSEADDR. It is cleared
+    // afterwards, because it would let other processes bind the port as well.
     socket.set_reuseaddr(false).ok()?;
     Some(socket)
 }
@@ -314,8 +315,8 @@
     socket.listen(BACKLOG.unsigned_abs()).ok()
 }
 
-/// Fills the backlog, so that no connection comes up: the system drops connection requests to a full backlog, as a
-/// cut link would (listen(2)).
+/// Fills the backlog, so that no connection is established: the system drops connection requests to a full backlog
+/// (listen(2)), as a cut link would.
 async fn fill_backlog(listener: &TcpListener, address: SocketAddr, fillers: &mut Vec<TcpStream>) {
     let _ = listen(listener, 0);
     while fillers.len() < MAX_FILLERS {
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario on a testbed, and reports its progress.
+//! Runs a scenario on a testbed and reports its progress.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -14,16 +14,16 @@
 /// The time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The progress of a run. The stored names are those of journals.
+/// The progress of a run. The serialized names are part of the journal format.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Progress<'a> {
-    /// The run begins.
+    /// The run has started.
     #[serde(rename = "begins")]
     Started {
         /// The scenario's name.
         name: &'a str,
-        /// The seed of everything that is drawn.
+        /// The seed of all random choices.
         seed: u64,
         /// The length of the run, in seconds.
         #[serde(rename = "seconds")]
@@ -31,11 +31,11 @@
         /// The number of sidecars.
         #[serde(rename = "sidecars")]
         sidecar_count: u16,
-        /// What will happen when.
+        /// The planned events.
         #[serde(rename = "acts")]
         events: &'a [Event],
     },
-    /// An event happens now.
+    /// An event is being applied.
     #[serde(rename = "act")]
     Event(&'a Event),
     /// A sample was taken.
@@ -49,14 +49,14 @@
 /// The outcome of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Whether every expectation held, no rule was broken, and no sidecar exited by itself.
+    /// Whether every expectation held, there was no violation, and no sidecar exited unexpectedly.
     #[serde(rename = "held")]
     pub passed: bool,
-    /// The expectations, in the order of the file.
+    /// The results of the expectations, in the order of the file.
     pub verdicts: Vec<Verdict>,
-    /// What became of all requests.
+    /// The account of all requests.
     pub account: Report,
-    /// The sidecars that have exited by themselves, in words.
+    /// Descriptions of sidecars that exited unexpectedly or took too long to shut down.
     #[serde(rename = "troubles")]
     pub problems: Vec<String>,
     /// All samples.
@@ -64,37 +64,37 @@
     pub samples: Vec<Sample>,
 }
 
-/// Plays a scenario to its end. `observe` is called with its progress.
+/// Runs a scenario to its end. `observe` is called with its progress.
 ///
 /// # Errors
 ///
-/// What could not be done. A run whose expectations fail is no error.
+/// When the testbed cannot be started or an action cannot be applied. Failed expectations are not an error.
 pub fn run(
     scenario: &Scenario,
     programs: Programs,
     observe: impl FnMut(&Progress<'_>),
 ) -> Result<Outcome, TestbedError> {
-    play(scenario, programs, observe).map(|run| run.outcome)
+    run_with_logs(scenario, programs, observe).map(|run| run.outcome)
 }
 
-/// A run, and what its sidecars have logged.
-pub struct SampledRun {
-    /// Its outcome.
+/// The outcome of a run together with violations from the sidecars' logs.
+pub struct LoggedRun {
+    /// The outcome of the run.
     pub outcome: Outcome,
-    /// Lines of the sidecars' logs that tell of violated rules.
+    /// Lines of the sidecars' logs that report violated rules or panics.
     pub logged_violations: Vec<String>,
 }
 
-/// The same with what the sidecars' logs tell of violated rules.
+/// Like [`run`], and also returns the violations that the sidecars' logs report.
 ///
 /// # Errors
 ///
 /// As for [`run`].
-pub fn play(
+pub fn run_with_logs(
     scenario: &Scenario,
     programs: Programs,
     mut observe: impl FnMut(&Progress<'_>),
-) -> Result<SampledRun, TestbedError> {
+) -> Result<LoggedRun, TestbedError> {
     observe(&Progress::Started {
         name: &scenario.name,
         seed: scenario.seed,
@@ -106,7 +106,7 @@
     if scenario.events.iter().any(|event| matches!(event.action, Action::Inject { .. })) {
         testbed.account.expect_transit_delays();
     }
-    if !scenario.judges_late_arrivals {
+    if !scenario.checks_late_arrivals {
         testbed.account.expect_late_arrivals();
     }
     let samples = apply_events(scenario, &mut testbed, &mut observe)?;
@@ -118,7 +118,7 @@
     let passed = sound && verdicts.iter().all(|verdict| verdict.passed);
     let outcome = Outcome { passed, verdicts, account, problems, samples };
     observe(&Progress::Finished(&outcome));
-    Ok(SampledRun { outcome, logged_violations: testbed.logged_violations() })
+    Ok(LoggedRun { outcome, logged_violations: testbed.logged_violations() })
 }
 
 /// Applies all events and takes all samples, each at its time.
@@ -140,7 +140,7 @@
         let next_event = events.peek().map(|event| Duration::from_secs_f64(event.at_s));
         let next = next_event.map_or(next_sample, |due| due.min(next_sample));
         std::thread::sleep(next.saturating_sub(started.elapsed()));
-        // An event comes before a sample of the same time.
+        // An event is applied before a sample of the same time is taken.
         if let Some(event) = events.next_if(|_| next_event.is_some_and(|due| due <= next_sample)) {
             observe(&Progress::Event(event));
             testbed.apply(event.fault, &event.action)?;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Waits for all samples, and returns them.
+    /// Waits for all samples to be complete and returns them.
     fn finish(mut self, observe: &mut impl FnMut(&Progress<'_>)) -> Vec<Sample> {
         while let Some(pending) = self.pending.pop_front() {
             self.record(pending, observe);
--- a/crates/fault-injection/src/sample.rs
+++ b/crates/fault-injection/src/sample.rs
@@ -1,4 +1,4 @@
-//! What is sampled of a run at regular times.
+//! The state of a run that is sampled at regular intervals.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::gossip_relay::DatagramCounts;
 
-/// The metrics that a sidecar reports of itself, by name.
+/// The metrics that a sidecar reports about itself, by name.
 pub type SidecarMetrics = BTreeMap<String, f64>;
 
-/// Operations since the start of the run, by how they ended.
+/// Operations since the start of the run, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Totals {
     /// Operations that clients have begun.
@@ -38,16 +38,16 @@
     }
 }
 
-/// What a sidecar's process takes of the machine, and what its configuration allows.
+/// The resources that a sidecar's process uses, and the limits of its configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUse {
     /// Open descriptors.
     pub descriptors: u64,
-    /// The most that there may be.
+    /// The limit on open descriptors.
     pub max_descriptors: u64,
     /// Resident memory, in KiB.
     pub memory_kib: u64,
-    /// The most that it may take, in KiB.
+    /// The limit on resident memory, in KiB.
     pub max_memory_kib: u64,
 }
 
@@ -61,22 +61,22 @@
     pub totals: Totals,
     /// The operations by tenant, in the order of the scenario.
     pub tenants: Vec<Totals>,
-    /// Rules broken, and sidecars that have exited by themselves.
+    /// Violations in the account, and sidecars that have exited unexpectedly.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// Attempts that servers have seen.
+    /// Attempts that servers have received.
     #[serde(rename = "attempts")]
     pub server_attempts: u64,
     /// Attempts that clients have sent.
     #[serde(rename = "tries")]
     pub client_attempts: u64,
-    /// Gossip datagrams.
+    /// The gossip datagrams.
     #[serde(rename = "notes")]
     pub gossip: DatagramCounts,
-    /// The metrics of each sidecar; none for one that did not answer.
+    /// The metrics of each sidecar. `None` for a sidecar that did not answer.
     #[serde(rename = "own")]
     pub sidecar_metrics: Vec<Option<SidecarMetrics>>,
-    /// What each sidecar takes; none for one that does not run.
+    /// The resources of each sidecar. `None` for a sidecar that is not running.
     #[serde(skip)]
     pub resources: Vec<Option<ResourceUse>>,
 }
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,7 +1,7 @@
-//! A fault-injection run, read from a TOML file and checked as a whole.
+//! The scenario of a fault-injection run, parsed from a TOML file and validated.
 //!
-//! The file says which nodes there are, what load they get, which faults happen when, and what must hold. The
-//! resulting plan depends on the file and the seed alone. No I/O.
+//! The file defines the nodes, their load, the faults with their times, and the expectations. The resulting plan
+//! depends only on the file and the seed. This module does no I/O.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,46 +25,46 @@
 mod tests;
 mod values;
 
-/// A run, ready to be played.
+/// A validated scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How long it takes.
+    /// The length of the run.
     pub duration: Duration,
     /// The number of sidecars.
     pub sidecar_count: u16,
     /// The number of log servers in each zone.
     pub servers_per_zone: u16,
-    /// The requests that a server processes at the same time.
+    /// The number of requests that a server executes at the same time.
     pub server_cores: usize,
     /// The factor on all latency objectives and deadlines, for slow machines.
     pub time_scale: f64,
     /// The load.
     pub load: Load,
-    /// What all links do from the start.
+    /// The impairment of all links from the start.
     pub baseline: Impairment,
     /// Changes to the configurations of some sidecars from the start (RFC 7396).
     pub configuration_patches: Vec<ConfigurationPatch>,
-    /// How often system calls of the sidecars fail; none: their calls are left alone.
+    /// The failure rates of the sidecars' system calls. `None` if no faults are injected.
     pub system_calls: Option<FaultRates>,
     /// Whether clients go on sending to a sidecar that was asked to shut down.
-    pub clients_stay: bool,
-    /// Whether a request that arrives at a server after its final answer breaks a rule. Where links hold traffic up,
-    /// it may have been sent long before.
-    pub judges_late_arrivals: bool,
-    /// What happens when, in the order of time.
+    pub clients_send_during_shutdown: bool,
+    /// Whether a request that arrives at a server after its final response is a violation. On links that hold traffic
+    /// back, it may have been sent long before.
+    pub checks_late_arrivals: bool,
+    /// The events in the order of time.
     pub events: Vec<Event>,
-    /// What must hold.
+    /// The conditions that must hold.
     pub expectations: Vec<Expectation>,
 }
 
 /// A change to the configurations of some sidecars.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationPatch {
-    /// The sidecars.
+    /// The numbers of the sidecars.
     pub sidecars: BTreeSet<u16>,
     /// The JSON merge patch (RFC 7396).
     pub patch: Value,
@@ -75,22 +75,23 @@
 pub struct Load {
     /// Requests per second, over all clients.
     pub requests_per_s: f64,
-    /// The load of the sidecar of rank *r* is proportional to 1 / *r* to this power; 0 is uniform.
+    /// The exponent of Zipf's law: the load of the sidecar of rank *r* is proportional to 1 / *r* to this power. 0 is
+    /// uniform.
     pub zipf_exponent: f64,
-    /// The retries of a client after its first attempt.
+    /// The number of retries of a client after its first attempt.
     pub client_retries: u16,
-    /// The share of the operations whose client leaves before it is answered.
+    /// The share of the operations whose client may give up before its deadline.
     pub leave_share: f64,
-    /// The connections to each sidecar that are held open without a request.
+    /// The number of connections to each sidecar that are held open without a request.
     pub silent_connections: usize,
-    /// The connections to each sidecar whose clients rest for about as long as idle ones are kept.
+    /// The number of connections to each sidecar whose clients pause between requests for about the idle timeout.
     pub resting_connections: usize,
     /// The tenants.
     pub tenants: Vec<Tenant>,
 }
 
 impl Load {
-    /// The sum of the tenants' shares.
+    /// Returns the sum of the tenants' shares.
     pub fn total_share(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.share).sum()
     }
@@ -99,26 +100,26 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its weight in the load, relative to the other tenants.
+    /// The tenant's weight in the load, relative to the other tenants.
     pub share: f64,
-    /// Its quota in requests per second.
+    /// The tenant's quota in requests per second.
     pub quota_per_s: f64,
 }
 
-/// An action at a time.
+/// A planned action.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
     /// The time in seconds from the start.
     pub at_s: f64,
-    /// The number of the fault in the file that it belongs to, from 0.
+    /// The number of the fault in the file that the event belongs to, from 0.
     pub fault: usize,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
-/// Something that is done to the nodes of a run. The stored names are those of journals.
+/// An action on the nodes of a run. The serialized names are part of the journal format.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -133,7 +134,7 @@
         #[serde(skip)]
         fault: Box<ActiveFault>,
     },
-    /// Ends what the event's fault has done to links.
+    /// Removes the impairments of the event's fault.
     #[serde(rename = "lift")]
     Clear,
     /// Kills sidecars.
@@ -143,10 +144,10 @@
     Terminate(BTreeSet<u16>),
     /// Starts sidecars again.
     Start {
-        /// Which.
+        /// The numbers of the sidecars.
         #[serde(rename = "of")]
         sidecars: BTreeSet<u16>,
-        /// Whether their stored state is deleted before.
+        /// Whether their stored state is deleted first.
         #[serde(rename = "empty")]
         discard_state: bool,
     },
@@ -156,38 +157,38 @@
     /// Resumes paused sidecars (SIGCONT).
     #[serde(rename = "go")]
     Resume(BTreeSet<u16>),
-    /// Lets sidecars run for this share of the time only.
+    /// Makes sidecars run for this share of the time only.
     #[serde(rename = "starve")]
     Throttle(BTreeSet<u16>, f64),
-    /// Lets throttled sidecars run all the time.
+    /// Stops throttling sidecars.
     #[serde(rename = "feed")]
     Unthrottle(BTreeSet<u16>),
     /// Changes the state of log servers.
     #[serde(rename = "servers")]
     SetServers(BTreeSet<u16>, ServerState),
-    /// Takes discovery down or brings it up.
+    /// Starts or ends an outage of discovery.
     #[serde(rename = "discovery")]
     SetDiscovery(Availability),
-    /// Has the discovery of sidecars misbehave.
+    /// Sets the faults of the sidecars' discovery.
     #[serde(rename = "discovery_faults")]
     SetDiscoveryFaults(BTreeSet<u16>, DiscoveryFaults),
-    /// Multiplies the load of a tenant (by its number; none: of all) relative to the start.
+    /// Sets the factor on the load of a tenant, given by index, relative to the start. `None` means all tenants.
     #[serde(rename = "load")]
     ScaleLoad(Option<usize>, f64),
-    /// Patches the configurations of sidecars (RFC 7396), which read them again.
+    /// Patches the configurations of sidecars (RFC 7396) and makes them reload.
     Configure(BTreeSet<u16>, Value),
-    /// Sets the wall clocks of sidecars ahead by so many seconds. It needs faulty system calls, which may have a rate
-    /// of zero.
+    /// Sets the wall clocks of sidecars ahead by a number of seconds. This requires faulty system calls, whose rates
+    /// may be zero.
     StepClock(BTreeSet<u16>, i64),
 }
 
-/// Whether a service can be reached. Stored as whether it is down.
+/// Whether a service is available. Serialized as a boolean that is true if the service is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "bool")]
 pub enum Availability {
-    /// It answers.
+    /// The service answers.
     Up,
-    /// It does not.
+    /// The service does not answer.
     Down,
 }
 
@@ -197,16 +198,16 @@
     }
 }
 
-/// How discovery misbehaves while it is up.
+/// The faults of discovery other than an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DiscoveryFaults {
-    /// The connections that are open now fall silent; new ones are answered.
+    /// The connections that are open now are not answered any more. New ones are answered.
     pub silences_connections: bool,
-    /// Nothing is answered.
+    /// No request is answered.
     pub silent: bool,
-    /// How long each answer is on its way, in milliseconds.
+    /// The delay of each answer, in milliseconds.
     pub answer_delay_ms: u64,
-    /// How long after it is accepted a connection is first read, in milliseconds.
+    /// The time from accepting a connection to its first read, in milliseconds.
     pub first_read_delay_ms: u64,
 }
 
@@ -214,28 +215,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// As at the start.
+    /// The server has no fault.
     #[serde(rename = "well")]
     Healthy,
-    /// It drains, and discovery lists it as leaving.
+    /// The server drains, and discovery lists it as leaving.
     #[serde(rename = "drains")]
     Draining,
-    /// Discovery does not list it any more; it goes on answering.
+    /// Discovery does not list the server any more, but it still answers.
     Removed,
-    /// Connections to it are refused.
+    /// Connections to the server are refused.
     Dead,
-    /// Its work takes this many times as long.
+    /// Service times are multiplied by this factor.
     Slow(f64),
-    /// This share of its answers are errors.
+    /// This share of the responses are errors.
     Errors(f64),
-    /// This share of its requests get no answer.
+    /// This share of the requests get no response.
     Hangs(f64),
-    /// For this share of its requests the connection is reset, for half of them after they were executed.
+    /// For this share of the requests the connection is reset, for half of them after the request was executed.
     Breaks(f64),
-    /// This share of its answers is no HTTP, or incomplete.
+    /// This share of the responses are not HTTP, or incomplete.
     Malformed(f64),
-    /// This share of its requests is rejected in ways that prove nothing, most of them after they were executed.
+    /// This share of the requests get a malformed rejection, which does not prove that they were not executed; most
+    /// of them were.
     BrokenRejections(f64),
-    /// This share of its answers is sent a second time, up to 0.4 s later or as the next request comes.
+    /// This share of the responses are sent a second time, up to 0.4 s later or when the next request arrives.
     SecondAnswers(f64),
 }
--- a/crates/fault-injection/src/scenario/build.rs
+++ b/crates/fault-injection/src/scenario/build.rs
@@ -1,4 +1,4 @@
-//! Checks a scenario file and builds the plan from it.
+//! Validates a scenario file and builds the scenario from it.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -25,15 +25,15 @@
 const MAX_TIME_SCALE: f64 = 100.0;
 const MAX_ZIPF_EXPONENT: f64 = 3.0;
 const MAX_CLIENT_RETRIES: u16 = 5;
-/// The quota of a default tenant with all of the load, in requests per second.
+/// The quota of a default tenant with the whole load, in requests per second. Others get their share of it.
 const DEFAULT_QUOTA_PER_S: f64 = 1000.0;
 const MAX_TENANT_SHARE: f64 = 1e6;
 const MAX_TENANT_QUOTA_PER_S: f64 = 1e9;
-/// The greatest tolerance of a comparison with a reference.
+/// The maximum tolerance of a comparison with a reference.
 const MAX_TOLERANCE: f64 = 10.0;
 
 impl Scenario {
-    /// Reads and checks the text of a scenario file. `seed` replaces the seed in the file.
+    /// Parses and validates the text of a scenario file. `seed` overrides the seed in the file.
     ///
     /// # Errors
     ///
@@ -127,8 +127,8 @@
             baseline,
             configuration_patches,
             system_calls: None,
-            clients_stay: false,
-            judges_late_arrivals: true,
+            clients_send_during_shutdown: false,
+            checks_late_arrivals: true,
             events,
             expectations: expectations.collect::<Result<_, _>>()?,
         })
@@ -183,7 +183,7 @@
         load.tenants.iter().map(checked).collect()
     }
 
-    /// The events of all faults, in the order of time.
+    /// Returns the events of all faults, in the order of time.
     fn events(&self) -> Result<Vec<Event>, ScenarioError> {
         let mut events = Vec::new();
         for (number, fault) in self.file.faults.iter().enumerate() {
@@ -235,7 +235,7 @@
         Ok(Expectation { sidecars, line: line_number(self.text, place), ..checked })
     }
 
-    /// The expectation but for its sidecars and its line.
+    /// Returns an expectation without its sidecars and its line.
     fn expected_metric(&self, table: &ExpectationTable) -> Result<Expectation, Problem> {
         let from_s = in_range(table.from_s.unwrap_or(0.0), "from_s", 0.0, self.run_s)?;
         let to_s = in_range(table.to_s.unwrap_or(self.run_s), "to_s", from_s, self.run_s)?;
--- a/crates/fault-injection/src/scenario/error.rs
+++ b/crates/fault-injection/src/scenario/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a scenario file.
+//! Errors of scenario files.
 
 use std::ops::Range;
 
 use crate::expectations::UnknownMetric;
 
-/// An error in a scenario file, with its place.
+/// An error in a scenario file, with its position.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// A problem at a line.
@@ -12,21 +12,21 @@
     AtLine {
         /// The line, from 1.
         line: usize,
-        /// What is wrong there.
+        /// The problem.
         problem: Problem,
     },
     /// The file has more faults than are allowed.
-    #[error("fault: {limit} at most expected")]
+    #[error("fault: at most {limit} faults are allowed")]
     TooManyFaults {
-        /// The greatest number.
+        /// The maximum number of faults.
         limit: usize,
     },
 }
 
-/// What is wrong at a place in the file.
+/// A problem at one position of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
-    /// It is no TOML, or no scenario.
+    /// The file is not valid TOML, or not a scenario.
     #[error("{0}")]
     Syntax(String),
     /// A number is out of its range.
@@ -34,51 +34,51 @@
     OutOfRange {
         /// The key.
         key: String,
-        /// The least value.
+        /// The minimum.
         min: f64,
-        /// The greatest value.
+        /// The maximum.
         max: f64,
         /// The value in the file.
         value: f64,
     },
     /// The run would be larger than can be recorded.
-    #[error("seconds: {limit_s:.0} at most expected with so many and so much")]
+    #[error("seconds: {limit_s:.0} at most expected with this number of sidecars and this load")]
     TooLong {
         /// The longest duration, in seconds.
         limit_s: f64,
     },
-    /// A word selects no node.
+    /// A selector selects no node.
     #[error(
-        "{key}: {word:?} names nobody (sidecars, s3, s0..4, servers, \
-         a zone, a server, discovery, a group, any of them *share)"
+        "{key}: {word:?} selects no node (expected sidecars, s3, s0..4, servers, \
+         a zone, a server, discovery, a group, or any of them with *share)"
     )]
     UnknownNodes {
         /// The key.
         key: String,
-        /// The word.
+        /// The selector.
         word: String,
     },
-    /// The value must select or be something else.
+    /// The value has another type, or selects other nodes, than expected.
     #[error("{key}: {expected} expected")]
     Expected {
         /// The key.
         key: String,
-        /// What is expected there.
+        /// A description of the expected value.
         expected: &'static str,
     },
     /// A key that this kind of fault needs is missing.
-    #[error("{key}: expected with this kind of fault")]
+    #[error("{key}: expected for this kind of fault")]
     Missing {
-        /// The key, or several.
+        /// The missing key or keys.
         key: &'static str,
     },
-    /// A tenant that is not in `load.tenants`.
-    #[error("tenant: {name:?} is none of load.tenants")]
+    /// The tenant is not in `load.tenants`.
+    #[error("tenant: {name:?} is not in load.tenants")]
     UnknownTenant {
         /// The name.
         name: String,
     },
-    /// A metric that does not exist.
+    /// The metric does not exist.
     #[error("{key}: {source}")]
     UnknownMetric {
         /// The key.
@@ -86,7 +86,7 @@
         /// The cause.
         source: UnknownMetric,
     },
-    /// A value that JSON cannot express.
+    /// JSON cannot express the value.
     #[error("{key}: {source}")]
     Json {
         /// The key.
@@ -94,13 +94,13 @@
         /// The cause.
         source: serde_json::Error,
     },
-    /// An expectation without a bound.
+    /// The expectation has no bound.
     #[error("least, most or near: one of them expected")]
     NoBound,
-    /// An expectation with half of a comparison.
+    /// The expectation has only one of the keys of a comparison.
     #[error("near, within: both or neither expected")]
     IncompleteReference,
-    /// A problem inside of a table.
+    /// A problem inside a table.
     #[error("{table}.{problem}")]
     In {
         /// The table's key.
@@ -111,23 +111,23 @@
 }
 
 impl Problem {
-    /// The same problem, seen from outside of the table that has the key.
+    /// Adds the key of the enclosing table to the problem.
     pub(super) fn within(self, table: impl Into<String>) -> Problem {
         Problem::In { table: table.into(), problem: Box::new(self) }
     }
 
-    /// The error at a place of the file.
+    /// Returns the problem as an error at a position of the file.
     pub(super) fn at(self, text: &str, place: &Range<usize>) -> ScenarioError {
         ScenarioError::AtLine { line: line_number(text, place), problem: self }
     }
 }
 
-/// The line of a place in the text, from 1.
+/// Returns the line of a position in the text, from 1.
 pub(super) fn line_number(text: &str, place: &Range<usize>) -> usize {
     1 + text.bytes().take(place.start).filter(|&byte| byte == b'\n').count()
 }
 
-/// The value, if it is in its range.
+/// Returns the value if it is within the range, or a problem otherwise.
 pub(super) fn in_range(value: f64, key: &str, min: f64, max: f64) -> Result<f64, Problem> {
     if (min..=max).contains(&value) {
         return Ok(value);
--- a/crates/fault-injection/src/scenario/faults.rs
+++ b/crates/fault-injection/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Turns the faults of a file into events.
+//! Converts the faults of a scenario file to events.
 
 use std::collections::BTreeSet;
 
@@ -9,29 +9,29 @@
 use super::{Action, Availability, Event, ServerState, Tenant};
 use crate::links::ActiveFault;
 
-/// The least share of the time that a throttled sidecar runs.
+/// The minimum share of the time for which a throttled sidecar runs.
 const MIN_THROTTLE_SHARE: f64 = 0.05;
-/// The greatest factor on load and on the work of servers.
+/// The maximum factor on load and on service times.
 const MAX_FACTOR: f64 = 1e3;
 
 /// Collects the events of one fault.
 pub(super) struct FaultEvents<'a> {
-    /// The nodes that it can be about.
+    /// The nodes that the fault can affect.
     pub nodes: &'a Nodes,
-    /// The tenants that it can be about.
+    /// The tenants that the fault can affect.
     pub tenants: &'a [Tenant],
-    /// The length of the run in seconds. Events after it are left out.
+    /// The length of the run in seconds. Events after its end are omitted.
     pub run_s: f64,
     /// The fault's number in the file, from 0.
     pub number: usize,
-    /// The fault.
+    /// The definition of the fault.
     pub table: &'a FaultTable,
-    /// The events so far, also of other faults.
+    /// The events so far, including those of other faults.
     pub events: &'a mut Vec<Event>,
 }
 
 impl FaultEvents<'_> {
-    /// Adds the fault's events.
+    /// Adds the events of the fault.
     pub fn add(&mut self) -> Result<(), Problem> {
         let fault = self.table;
         in_range(fault.at_s, "at_s", 0.0, self.run_s)?;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Adds the events of the fault's beginning and, if it has one, of its end.
+    /// Adds the event of the fault's beginning and, if it has a duration, that of its end.
     fn push_pair(&mut self, begin: Action, end: Action) {
         self.push(self.table.at_s, begin);
         if let Some(duration_s) = self.table.duration_s {
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Adds events for all sidecars of the fault: at once, or one after the other, evenly over the spread.
+    /// Adds events for all sidecars of the fault: at the same time, or one after another, evenly over the spread.
     fn each_sidecar(
         &mut self,
         begin: impl Fn(BTreeSet<u16>) -> Result<Action, Problem>,
@@ -162,7 +162,7 @@
     }
 }
 
-/// The action that starts sidecars again after this fault.
+/// Returns the action that starts sidecars again after this fault.
 fn restart(fault: &FaultTable) -> impl Fn(BTreeSet<u16>) -> Action + use<> {
     let discard_state = fault.discard_state;
     move |sidecars| Action::Start { sidecars, discard_state }
--- a/crates/fault-injection/src/scenario/file.rs
+++ b/crates/fault-injection/src/scenario/file.rs
@@ -1,26 +1,28 @@
-//! The form of a scenario file. Keys keep the names that earlier versions have read, some of them in two forms.
+//! The format of a scenario file. Keys keep the names of earlier versions so that old files can still be read; some
+//! have an alias.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The most sidecars.
+/// The maximum number of sidecars.
 pub const MAX_SIDECARS: u16 = 400;
-/// The most log servers in a zone.
+/// The maximum number of log servers in a zone.
 pub(super) const MAX_SERVERS_PER_ZONE: u16 = 22;
-/// The longest run, in seconds.
+/// The maximum length of a run, in seconds.
 pub(super) const MAX_DURATION_S: f64 = 3600.0;
-/// The most faults.
+/// The maximum number of faults.
 pub(super) const MAX_FAULTS: usize = 256;
-/// The most requests per second, over all clients.
+/// The maximum number of requests per second, over all clients.
 pub(super) const MAX_REQUESTS_PER_S: f64 = 20_000.0;
-/// The most requests of a run: the account keeps each of them.
+/// The maximum number of requests of a run: the account keeps each of them.
 pub(super) const MAX_REQUESTS: f64 = 4e6;
-/// The most seconds of a run times its sidecars: each sample keeps some 6 kB for each sidecar.
+/// The maximum product of the length of a run in seconds and its number of sidecars: each sample takes some 6 kB per
+/// sidecar.
 pub(super) const MAX_SIDECAR_SECONDS: f64 = 40_000.0;
 
-/// The whole file.
+/// A scenario file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ScenarioFile {
--- a/crates/fault-injection/src/scenario/selectors.rs
+++ b/crates/fault-injection/src/scenario/selectors.rs
@@ -1,4 +1,4 @@
-//! The words by which files select nodes: `sidecars`, `s3`, `s0..4`, `servers`, a zone, a server such as
+//! The selectors of nodes in scenario files: `sidecars`, `s3`, `s0..4`, `servers`, a zone, a server such as
 //! `utrecht-1`, `discovery`, a group of the file, or a random share of any of them (`sidecars*0.5`).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 use super::error::Problem;
 use crate::links::Node;
 
-/// The nodes of a scenario, by the words that select them.
+/// The nodes of a scenario, to which selectors refer.
 pub(super) struct Nodes {
     pub sidecar_count: u16,
     pub servers_per_zone: u16,
@@ -21,7 +21,7 @@
 }
 
 impl Nodes {
-    /// All nodes that a list of words selects. `key` is where it stands in the file.
+    /// Returns all nodes that a list of selectors selects. `key` is the key of the list in the file.
     pub fn select(&self, words: &[String], key: &str) -> Result<BTreeSet<Node>, Problem> {
         let mut all = BTreeSet::new();
         for word in words {
@@ -32,7 +32,7 @@
         Ok(all)
     }
 
-    /// The sidecars among the selected nodes; there must be one.
+    /// Returns the sidecars among the selected nodes. There must be at least one.
     pub fn select_sidecars(&self, words: &[String], key: &str) -> Result<BTreeSet<u16>, Problem> {
         let number = |node| match node {
             Node::Sidecar(n) => Some(n),
@@ -41,7 +41,7 @@
         self.select_numbers(words, key, number, "sidecars")
     }
 
-    /// The servers among the selected nodes; there must be one.
+    /// Returns the servers among the selected nodes. There must be at least one.
     pub fn select_servers(&self, words: &[String], key: &str) -> Result<BTreeSet<u16>, Problem> {
         let number = |node| match node {
             Node::Server(n) => Some(n),
@@ -65,7 +65,7 @@
         Ok(numbers)
     }
 
-    /// All sidecars and servers that are not among `nodes`.
+    /// Returns all sidecars and servers that are not among `nodes`.
     pub fn others(&self, nodes: &BTreeSet<Node>) -> BTreeSet<Node> {
         let sidecars = (0..self.sidecar_count).map(Node::Sidecar);
         let servers = (0..self.server_count()).map(Node::Server);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The servers and sidecars of a zone.
+    /// Returns the servers and sidecars of a zone.
     fn zone(&self, zone: u16) -> BTreeSet<Node> {
         let in_zone = |n: &u16| n % ZONES.len() as u16 == zone;
         let sidecars = (0..self.sidecar_count).filter(in_zone).map(Node::Sidecar);
@@ -120,7 +120,7 @@
         servers(first..first + self.servers_per_zone).chain(sidecars).collect()
     }
 
-    /// The server of a name such as `utrecht-1`.
+    /// Returns the server with a name such as `utrecht-1`.
     fn server(&self, name: &str) -> Option<BTreeSet<Node>> {
         let (zone, number) = name.rsplit_once('-')?;
         let zone = zone_number(zone)?;
@@ -128,7 +128,7 @@
         Some([Node::Server(zone * self.servers_per_zone + number)].into())
     }
 
-    /// A random share of nodes, at least one. The draw depends on the seed and the name alone.
+    /// Returns a random share of nodes, at least one. The choice depends only on the seed and the name.
     fn sample(&self, nodes: BTreeSet<Node>, share: f64, name: &str) -> BTreeSet<Node> {
         let mut nodes: Vec<Node> = nodes.into_iter().collect();
         let count = (share * nodes.len() as f64).round().max(1.0) as usize;
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn errors_name_line_and_key() {
     let wrong = [
-        ("[groups]\nleft = [\"s0..4\", \"s8\"]", "line 9: groups.left: \"s8\" names nobody"),
+        ("[groups]\nleft = [\"s0..4\", \"s8\"]", "line 9: groups.left: \"s8\" selects no node"),
         ("[[fault]]\nwhat = \"kill\"\nat_s = 11\nof = [\"s1\"]", "line 8: at_s: from 0 to 10"),
         ("[[fault]]\nwhat = \"kill\"\nat_s = 1", "line 8: of: sidecars expected"),
         (
--- a/crates/fault-injection/src/scenario/values.rs
+++ b/crates/fault-injection/src/scenario/values.rs
@@ -1,4 +1,4 @@
-//! Values of a scenario file that several tables have.
+//! Parses values that occur in several tables of a scenario file.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// The longest delay and jitter of a link, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// The number of the tenant that has this name.
+/// Returns the index of the tenant with this name.
 pub(super) fn tenant_number(
     tenants: &[Tenant],
     name: Option<&str>,
@@ -22,7 +22,7 @@
     number.map(Some).ok_or_else(|| Problem::UnknownTenant { name: name.to_owned() })
 }
 
-/// The impairment that a table of the file describes.
+/// Returns the impairment that a table of the file defines.
 pub(super) fn impairment(table: &ImpairmentTable) -> Result<Impairment, Problem> {
     let share = |value, key| in_range(value, key, 0.0, 1.0);
     let duration = |ms, key| {
@@ -41,7 +41,7 @@
     })
 }
 
-/// The JSON object that a table of the file is.
+/// Converts a table of the file to a JSON object.
 pub(super) fn json_table(table: &toml::Value, key: &str) -> Result<Value, Problem> {
     let key = key.to_owned();
     match serde_json::to_value(table) {
--- a/crates/fault-injection/src/soak.rs
+++ b/crates/fault-injection/src/soak.rs
@@ -1,15 +1,15 @@
-//! A soak test: real sidecars under faults that overlap in time, drawn from a seed and judged by what the protocol
-//! always demands.
+//! Soak tests: real sidecars under overlapping faults that are generated from a seed, checked against the invariants
+//! of the protocol.
 //!
-//! A run is sound if no request was lost, answered twice or in vain, executed twice, or sent where it must not be; if
-//! no process ended by itself, reported a violated rule or outlived its shutdown; and if, once the faults are over,
-//! nearly everything is served and no sidecar takes more than its limits allow.
+//! A run passes if no request was lost, answered twice or too late, executed twice, or sent to a server that must not
+//! get it; if no process exited unexpectedly, reported a violated rule, or took too long to shut down; and if, after
+//! the last fault, nearly all requests are served and no sidecar exceeds its resource limits.
 
 use std::time::Duration;
 
 use fakes::lag_watch::LagWatch;
 
-use crate::runner::{Outcome, Progress, SampledRun, play};
+use crate::runner::{LoggedRun, Outcome, Progress, run_with_logs};
 use crate::sample::{ResourceUse, Sample, Totals};
 use crate::scenario::Scenario;
 use crate::testbed::{Programs, TestbedError};
@@ -20,37 +20,41 @@
 #[cfg(test)]
 mod tests;
 
-/// The share of the requests that has to be served when the faults are over.
+/// The minimum share of requests that must be served after the last fault.
 const MIN_RECOVERED_SHARE: f64 = 0.9;
-/// How long before the end that share is counted from.
+/// The length of the span at the end of the run over which that share is computed.
 const RECOVERY_SPAN: Duration = Duration::from_secs(5);
-/// The metric of a sidecar that counts requests in progress.
+/// The sidecar metric that counts requests in progress.
 const ACTIVE_REQUESTS: &str = "active";
 
-/// What did not hold in a run, in words. Empty: all held.
+/// Descriptions of the failed checks of a run. Empty if the run passed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(pub Vec<String>);
 
-/// Plays the scenario of a seed, and judges it.
+/// Runs a scenario and checks its outcome.
 ///
 /// # Errors
 ///
-/// What could not be done. A run in which something did not hold is no error.
+/// When the testbed cannot be started or an action cannot be applied. Findings are not an error.
 pub fn run(
     scenario: &Scenario,
     programs: Programs,
     observe: impl FnMut(&Progress<'_>),
 ) -> Result<(Outcome, Findings), TestbedError> {
     let lags = LagWatch::start();
-    let SampledRun { outcome, logged_violations } = play(scenario, programs, observe)?;
-    let mut findings = judge(scenario, &outcome, logged_violations);
+    let LoggedRun { outcome, logged_violations } = run_with_logs(scenario, programs, observe)?;
+    let mut findings = check_outcome(scenario, &outcome, logged_violations);
     if !findings.0.is_empty() {
         findings.0.push(lags.longest().to_string());
     }
     Ok((outcome, findings))
 }
 
-fn judge(scenario: &Scenario, outcome: &Outcome, logged_violations: Vec<String>) -> Findings {
+fn check_outcome(
+    scenario: &Scenario,
+    outcome: &Outcome,
+    logged_violations: Vec<String>,
+) -> Findings {
     let mut findings = Vec::new();
     let violations = outcome.account.violations();
     if violations > 0 {
@@ -67,7 +71,7 @@
     Findings(findings)
 }
 
-/// Which sidecars have more descriptors or memory than their limits allow.
+/// Reports sidecars that use more descriptors or memory than their limits allow.
 fn resource_findings(last: &Sample) -> impl Iterator<Item = String> {
     let resources = last.resources.iter().enumerate();
     resources.filter_map(|(n, used)| (*used).map(|used| (n, used))).filter_map(|(n, used)| {
@@ -82,12 +86,12 @@
     })
 }
 
-/// Whether too little was served when the faults were over.
+/// Reports a run in which too few requests were served after the last fault.
 fn recovery_finding(duration: Duration, samples: &[Sample]) -> Option<String> {
     let from_s = duration.saturating_sub(RECOVERY_SPAN).as_secs_f64();
     let first = samples.iter().find(|sample| sample.at_s >= from_s)?;
     let last = samples.last()?;
-    // An operation whose last attempt was rejected or failed may be served later: these counts may fall.
+    // These counts may decrease, because an operation whose last attempt was rejected or failed may be served later.
     let difference =
         |total: fn(&Totals) -> u64| total(&last.totals).saturating_sub(total(&first.totals));
     let served = difference(|totals| totals.served);
@@ -97,11 +101,12 @@
         .then(|| format!("{served} of {ended} requests served after the last fault"))
 }
 
-/// Whether a sidecar has more requests in progress than it can have, as they are never forgotten.
+/// Reports a sidecar with more requests in progress than the load can cause, which shows that ended requests are still
+/// counted.
 fn leftover_finding(last: &Sample) -> Option<String> {
-    /// More than any sidecar gets within the longest deadline.
-    const MOST_ACTIVE: f64 = 200.0;
+    /// More requests than any sidecar gets within the longest deadline.
+    const MAX_ACTIVE: f64 = 200.0;
     let active = last.sidecar_metrics.iter().flatten().filter_map(|m| m.get(ACTIVE_REQUESTS));
     let most = active.fold(0.0, |most, &count| count.max(most));
-    (most > MOST_ACTIVE).then(|| format!("a sidecar has {most} requests in progress at the end"))
+    (most > MAX_ACTIVE).then(|| format!("a sidecar has {most} requests in progress at the end"))
 }
--- a/crates/fault-injection/src/soak/draw.rs
+++ b/crates/fault-injection/src/soak/draw.rs
@@ -1,4 +1,5 @@
-//! Draws a scenario: some moments at which two to four faults begin together, and single ones between them.
+//! Generates a random scenario: groups of two to four faults that begin at about the same time, and single faults in
+//! between.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,59 +23,61 @@
 mod rejections;
 mod replacement;
 
-/// In how many of a thousand reads and writes the system has no buffers.
-const SHORTAGE_RATE: u32 = 2;
-/// How long before the end all faults are over.
+/// The rate of reads and writes that fail for lack of buffers, in thousandths.
+const BUFFER_SHORTAGE_RATE: u32 = 2;
+/// The length of the span at the end of a run without faults.
 pub const QUIET_END: Duration = Duration::from_secs(11);
-/// When the first fault begins, in seconds.
+/// The earliest time of a fault, in seconds.
 const FIRST_FAULT_S: f64 = 2.0;
-/// How far apart the faults of one moment begin, in seconds.
-const MOMENT_S: f64 = 0.6;
-/// How long after SIGTERM a sidecar is killed and started again: the earliest that the protocol allows, the longest
-/// deadline of the classes and 0.7 s, and a little for the machine. Clients send on their open connections until then.
+/// The maximum time between the first and the last fault of a group, in seconds.
+const GROUP_SPREAD_S: f64 = 0.6;
+/// The time from SIGTERM to the kill and restart of a sidecar, in seconds: the earliest time that the protocol allows,
+/// which is the longest deadline of the classes and 0.7 s, and a small allowance for the machine. Clients send on their
+/// open connections until then.
 const SHUTDOWN_S: f64 = 2.0 * TIME_SCALE + 0.75;
-/// The probability that further signals come during a shutdown.
+/// The probability that further signals are sent during a shutdown.
 const FURTHER_SIGNALS_PROBABILITY: f64 = 0.4;
-/// The longest time for which a process is held up, by the terms of the users' standing test.
+/// The longest time for which a process is held up, in seconds. It is set by the users' acceptance test.
 const LONGEST_PAUSE_S: f64 = 0.15;
 const SERVERS_PER_ZONE: u16 = 4;
 const ZONE_COUNT: u16 = 3;
 const SERVER_CORES: usize = 4;
-/// So few descriptors that idle clients are evicted.
-const FEW_SOCKETS: u32 = 64;
-/// So many silent connections that idle ones are evicted where there are few descriptors.
-const MANY_SILENT: usize = 14;
-/// Connections to each sidecar whose clients rest until about the time at which idle ones are closed.
-const RESTING: usize = 10;
-/// Requests per second for each sidecar.
+/// A limit on descriptors that is so low that idle client connections are evicted.
+const LOW_SOCKET_LIMIT: u32 = 64;
+/// The number of silent connections to each sidecar, which is so high that idle ones are evicted with
+/// [`LOW_SOCKET_LIMIT`].
+const SILENT_CONNECTIONS: usize = 14;
+/// The number of connections to each sidecar whose clients pause for about the idle timeout.
+const RESTING_CONNECTIONS: usize = 10;
+/// The number of requests per second for each sidecar.
 const REQUESTS_PER_SIDECAR: f64 = 20.0;
-/// Objectives and deadlines are longer by this factor: two dozen processes share a few cores.
+/// The factor on latency objectives and deadlines, because two dozen processes share a few cores.
 const TIME_SCALE: f64 = 1.4;
-/// The value of `settings.discovery` where lists are polled.
+/// The value of `settings.discovery` if sidecars poll their lists.
 const POLLED_LISTS: &str = "on_request";
 const QUOTA_PER_S: f64 = 10_000.0;
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakSize {
     /// The number of sidecars.
     pub sidecars: u16,
-    /// Its length.
+    /// The length of the run.
     pub duration: Duration,
 }
 
-/// The scenario of a seed.
+/// Generates the scenario of a seed.
 ///
 /// # Panics
 ///
-/// When the run is too short for any fault.
+/// When the run is too short for faults.
 pub fn draw(seed: u64, size: SoakSize) -> Scenario {
     let last_fault_s = size.duration.saturating_sub(QUIET_END).as_secs_f64();
-    assert!(last_fault_s > FIRST_FAULT_S, "a run of {:?} has no time for faults", size.duration);
+    assert!(last_fault_s > FIRST_FAULT_S, "a run of {:?} is too short for faults", size.duration);
     let rng = StdRng::seed_from_u64(seed);
-    let every_run = StdRng::seed_from_u64(!seed);
+    let common_rng = StdRng::seed_from_u64(!seed);
     let (sidecars, events) = (size.sidecars, Vec::new());
-    let mut plan = Plan { rng, every_run, sidecars, last_fault_s, fault: 0, events };
+    let mut plan = Plan { rng, common_rng, sidecars, last_fault_s, fault: 0, events };
     plan.add_faults();
     plan.events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     let system_calls = Some(plan.system_calls(seed));
@@ -90,14 +93,14 @@
         baseline: Impairment::default(),
         configuration_patches: plan.initial_patches(),
         system_calls,
-        clients_stay: true,
-        judges_late_arrivals: !plan.has_cuts(),
+        clients_send_during_shutdown: true,
+        checks_late_arrivals: !plan.has_cuts(),
         events: plan.events,
         expectations: Vec::new(),
     }
 }
 
-/// Whether the sidecars of a run poll their lists. Otherwise an agent has them.
+/// Returns whether the sidecars of a run poll their lists. Otherwise an agent provides the lists.
 pub fn polls_lists(scenario: &Scenario) -> bool {
     let polls = |patch: &ConfigurationPatch| patch.patch["settings"]["discovery"] == POLLED_LISTS;
     scenario.configuration_patches.iter().any(polls)
@@ -105,10 +108,10 @@
 
 struct Plan {
     rng: StdRng,
-    /// Draws what every run has beside, which leaves the other faults of a seed as they are.
-    every_run: StdRng,
+    /// Draws the faults that every run has. A separate generator keeps the other faults of a seed independent of them.
+    common_rng: StdRng,
     sidecars: u16,
-    /// When the last fault ends, in seconds.
+    /// The latest end of a fault, in seconds.
     last_fault_s: f64,
     /// The number of the next fault.
     fault: usize,
@@ -153,13 +156,14 @@
 
 impl Plan {
     fn add_faults(&mut self) {
-        let moments = self.rng.random_range(2..=4);
-        // Half of the runs leave the links alone: only then does what arrives at servers tell when it was sent.
+        let groups = self.rng.random_range(2..=4);
+        // Half of the runs have no impaired links: only then does the time of a request's arrival show when it was
+        // sent.
         let with_cuts = self.rng.random_bool(0.5);
-        for _ in 0..moments {
+        for _ in 0..groups {
             let at_s = self.rng.random_range(FIRST_FAULT_S..self.last_fault_s - 1.0);
             for _ in 0..self.rng.random_range(2..=4) {
-                let offset_s = self.rng.random_range(0.0..MOMENT_S);
+                let offset_s = self.rng.random_range(0.0..GROUP_SPREAD_S);
                 self.add_fault(at_s + offset_s, with_cuts);
             }
         }
@@ -167,14 +171,14 @@
             let at_s = self.rng.random_range(FIRST_FAULT_S..self.last_fault_s - 1.0);
             self.add_fault(at_s, with_cuts);
         }
-        // In every run some servers are withdrawn soon after another change of the list.
+        // In every run, some servers are removed from the list soon after another change of it.
         let latest_s = (self.last_fault_s - MAX_REPLACEMENT_S).max(FIRST_FAULT_S + 1.0);
         let at_s = self.rng.random_range(FIRST_FAULT_S..latest_s);
         self.replace_in_steps(at_s);
         self.hold_up_in_series();
-        self.hang_under_leaving_clients();
-        self.break_rejections();
-        self.repeat_answers();
+        self.hang_servers();
+        self.send_broken_rejections();
+        self.send_second_answers();
     }
 
     fn add_fault(&mut self, at_s: f64, with_cuts: bool) {
@@ -252,7 +256,7 @@
         self.push(at_s + length_s, end);
     }
 
-    /// Has sidecars shut down, one after the other, and starts each again.
+    /// Shuts sidecars down one after another, and starts each again.
     fn terminate(&mut self, at_s: f64) {
         let spread_s = self.rng.random_range(0.0..2.0);
         let sidecars = self.some_sidecars(0.4);
@@ -269,7 +273,7 @@
         }
     }
 
-    /// Has sidecars read a new configuration during their shutdown, and asks them to end once more.
+    /// Makes sidecars reload a new configuration during their shutdown, and sends SIGTERM again.
     fn signal_again(&mut self, at_s: f64, sidecars: &BTreeSet<u16>) {
         let reload_s = at_s + self.rng.random_range(0.0..SHUTDOWN_S - 1.0);
         let patch = self.patch();
@@ -310,16 +314,16 @@
         self.add(at_s, 0.5..5.0, inject, Action::Clear);
     }
 
-    /// Some sidecars: one, or up to this share of them.
-    fn some_sidecars(&mut self, most: f64) -> BTreeSet<u16> {
+    /// Draws one or more sidecars, up to this share of them.
+    fn some_sidecars(&mut self, max_share: f64) -> BTreeSet<u16> {
         let all: Vec<u16> = (0..self.sidecars).collect();
-        let most = ((f64::from(self.sidecars) * most) as usize).max(1);
-        let count = self.rng.random_range(1..=most);
+        let max = ((f64::from(self.sidecars) * max_share) as usize).max(1);
+        let count = self.rng.random_range(1..=max);
         all.choose_multiple(&mut self.rng, count).copied().collect()
     }
 
-    /// What differs from the usual configuration from the start: in half of the runs lists are polled, in half there
-    /// is little room for clients.
+    /// Draws the changes to the default configuration from the start: in half of the runs lists are polled, and in
+    /// half there is a low limit on descriptors.
     fn initial_patches(&mut self) -> Vec<ConfigurationPatch> {
         let mut patches = Vec::new();
         let all: BTreeSet<u16> = (0..self.sidecars).collect();
@@ -328,13 +332,13 @@
             patches.push(ConfigurationPatch { sidecars: all.clone(), patch });
         }
         if self.rng.random_bool(0.5) {
-            let patch = json!({"limits": {"sockets": FEW_SOCKETS}});
+            let patch = json!({"limits": {"sockets": LOW_SOCKET_LIMIT}});
             patches.push(ConfigurationPatch { sidecars: all, patch });
         }
         patches
     }
 
-    /// A change of the configuration that a running process applies.
+    /// Draws a change of the configuration that a running process applies.
     fn patch(&mut self) -> Value {
         match self.rng.random_range(0..4) {
             0 => json!({"limits": {"sockets": self.rng.random_range(128..400)}}),
@@ -346,10 +350,11 @@
         }
     }
 
+    /// Draws the failure rates of system calls.
     fn system_calls(&mut self, seed: u64) -> FaultRates {
-        let mut rate = |most: u32| {
+        let mut rate = |max: u32| {
             let used = self.rng.random_bool(0.6);
-            if used { self.rng.random_range(0..=most) } else { 0 }
+            if used { self.rng.random_range(0..=max) } else { 0 }
         };
         FaultRates {
             seed: seed as u32,
@@ -360,7 +365,7 @@
             socket: rate(20),
             connect: rate(30),
             broken: rate(3),
-            memory: SHORTAGE_RATE,
+            memory: BUFFER_SHORTAGE_RATE,
             hold: 0,
             wait: 0,
             file: 0,
@@ -378,8 +383,8 @@
             zipf_exponent: self.rng.random_range(0.0..0.8),
             client_retries: self.rng.random_range(0..=2),
             leave_share: self.leave_share(),
-            silent_connections: if self.rng.random_bool(0.5) { MANY_SILENT } else { 0 },
-            resting_connections: RESTING,
+            silent_connections: if self.rng.random_bool(0.5) { SILENT_CONNECTIONS } else { 0 },
+            resting_connections: RESTING_CONNECTIONS,
             tenants: tenants.collect(),
         }
     }
--- a/crates/fault-injection/src/soak/draw/discovery.rs
+++ b/crates/fault-injection/src/soak/draw/discovery.rs
@@ -1,4 +1,4 @@
-//! Draws discovery that falls silent or is slow, and many servers that drain just then.
+//! Draws faults in which discovery stops answering or is slow, often while many servers drain.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,13 @@
 use super::{FIRST_FAULT_S, Plan, SERVERS_PER_ZONE, ZONE_COUNT};
 use crate::scenario::{Action, DiscoveryFaults, ServerState};
 
-/// The longest delay of an answer of discovery, or of the first read of a connection to it. Together with a process
-/// that is held up, it leaves time to keep the grace period of draining servers.
+/// The longest delay of an answer of discovery, or of the first read of a connection to it. It is short enough for a
+/// sidecar to keep the grace period of draining servers even if its process is also held up.
 const LONGEST_DISCOVERY_DELAY_MS: u64 = 250;
 
 impl Plan {
-    /// Has the discovery of some sidecars fall silent, or be slow, and often many servers drain just then.
+    /// Makes the discovery of some sidecars slow, in some runs after it has stopped answering. Often many servers drain
+    /// at the same time.
     pub(super) fn discovery_faults(&mut self, at_s: f64) {
         let sidecars = self.some_sidecars(0.8);
         let slow = self.slow_discovery();
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Delays of discovery for which the rule on draining servers can be kept.
+    /// Draws delays of discovery with which sidecars can still keep the rule on draining servers.
     fn slow_discovery(&mut self) -> DiscoveryFaults {
         let delay_ms = self.rng.random_range(0..=LONGEST_DISCOVERY_DELAY_MS);
         let is_read_late = self.rng.random();
@@ -51,7 +52,7 @@
         DiscoveryFaults { answer_delay_ms, first_read_delay_ms, ..DiscoveryFaults::default() }
     }
 
-    /// Has up to half of the servers drain in one version of the list.
+    /// Makes up to half of the servers drain in one version of the list.
     fn drain_many(&mut self, at_s: f64) {
         let all: Vec<u16> = (0..SERVERS_PER_ZONE * ZONE_COUNT).collect();
         let count = self.rng.random_range(all.len() / 4..=all.len() / 2);
--- a/crates/fault-injection/src/soak/draw/rejections.rs
+++ b/crates/fault-injection/src/soak/draw/rejections.rs
@@ -1,4 +1,5 @@
-//! Servers whose answers are not what they seem: rejections that prove nothing, and answers that come twice.
+//! Draws servers with misleading responses: malformed rejections, which do not prove that a request was not executed,
+//! and responses that are sent twice.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,38 +10,46 @@
 use super::{FIRST_FAULT_S, Plan, SERVERS_PER_ZONE, ZONE_COUNT};
 use crate::scenario::{Action, ServerState};
 
-/// How many servers reject in such ways, for how long and which share of their requests: few enough that they are not
-/// ejected at once.
+/// The number of servers that send malformed rejections.
 const REJECTING_SERVERS: usize = 3;
+/// The time for which servers send malformed rejections, in seconds.
 const REJECTING_S: Range<f64> = 4.0..7.0;
+/// The share of the requests that get a malformed rejection, which is so low that the servers are not ejected at once.
 const REJECTED_SHARE: f64 = 0.15;
 
-/// How many servers answer twice, for how long and how often.
+/// The number of servers that send responses twice.
 const REPEATING_SERVERS: usize = 6;
+/// The time for which servers send responses twice, in seconds.
 const REPEATING_S: Range<f64> = 5.0..8.0;
+/// The share of the responses that are sent twice.
 const REPEATED_SHARE: f64 = 0.3;
 
 impl Plan {
-    /// In every run some servers reject requests in ways that prove nothing.
-    pub(super) fn break_rejections(&mut self) {
+    /// Makes some servers send malformed rejections. Every run has this fault.
+    pub(super) fn send_broken_rejections(&mut self) {
         let state = ServerState::BrokenRejections(REJECTED_SHARE);
-        self.have_servers_answer(state, REJECTING_SERVERS, REJECTING_S);
+        self.change_servers_temporarily(state, REJECTING_SERVERS, REJECTING_S);
     }
 
-    /// In every run some servers send answers a second time.
-    pub(super) fn repeat_answers(&mut self) {
+    /// Makes some servers send responses twice. Every run has this fault.
+    pub(super) fn send_second_answers(&mut self) {
         let state = ServerState::SecondAnswers(REPEATED_SHARE);
-        self.have_servers_answer(state, REPEATING_SERVERS, REPEATING_S);
+        self.change_servers_temporarily(state, REPEATING_SERVERS, REPEATING_S);
     }
 
-    /// Puts `count` servers into a state for a time within `lengths_s`.
-    fn have_servers_answer(&mut self, state: ServerState, count: usize, lengths_s: Range<f64>) {
-        let length_s = self.every_run.random_range(lengths_s);
+    /// Puts `count` servers into a state for a time within `lengths_s`, in seconds.
+    fn change_servers_temporarily(
+        &mut self,
+        state: ServerState,
+        count: usize,
+        lengths_s: Range<f64>,
+    ) {
+        let length_s = self.common_rng.random_range(lengths_s);
         let latest_s = (self.last_fault_s - length_s).max(FIRST_FAULT_S + 1.0);
-        let at_s = self.every_run.random_range(FIRST_FAULT_S..latest_s);
+        let at_s = self.common_rng.random_range(FIRST_FAULT_S..latest_s);
         let all: Vec<u16> = (0..SERVERS_PER_ZONE * ZONE_COUNT).collect();
         let servers: BTreeSet<u16> =
-            all.choose_multiple(&mut self.every_run, count).copied().collect();
+            all.choose_multiple(&mut self.common_rng, count).copied().collect();
         self.push(at_s, Action::SetServers(servers.clone(), state));
         self.push(at_s + length_s, Action::SetServers(servers, ServerState::Healthy));
         self.fault += 1;
--- a/crates/fault-injection/src/soak/draw/replacement.rs
+++ b/crates/fault-injection/src/soak/draw/replacement.rs
@@ -1,4 +1,4 @@
-//! Draws servers that are replaced a few at a time, as in a release.
+//! Draws servers that are replaced a few at a time, as in a rolling update.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,21 +9,23 @@
 use super::{Plan, SERVERS_PER_ZONE, ZONE_COUNT};
 use crate::scenario::{Action, ServerState};
 
-/// The number of steps; each is a version of the list.
+/// The number of steps. Each step is one version of the list.
 const STEPS: Range<usize> = 2..5;
-/// The most servers of one step.
+/// The maximum number of servers of one step.
 const MAX_SERVERS_PER_STEP: usize = 2;
-/// The time between two steps. Some are shorter than the grace period of a draining server, some are longer.
+/// The time between two steps, in seconds. Some are shorter than the grace period of a draining server, some longer.
 const STEP_INTERVAL_S: Range<f64> = 0.1..2.5;
-/// How long it takes until the servers of a step are back. Some are gone for longer than polled lists may take.
+/// The time until the servers of a step are back, in seconds. Some are absent for longer than a sidecar that polls its
+/// list may take to notice.
 const ABSENCE_S: Range<f64> = 2.0..9.0;
-/// How long a replacement takes at most.
+/// The maximum length of a replacement, in seconds.
 pub(super) const MAX_REPLACEMENT_S: f64 =
     STEP_INTERVAL_S.end * (STEPS.end - 2) as f64 + ABSENCE_S.end;
 
 impl Plan {
-    /// Withdraws servers in steps, so that all but the first follow another change of the list. Where a step does not
-    /// announce that they drain, nothing but the list tells that they are gone: they go on answering.
+    /// Removes servers from the list, or lists them as draining, in steps, so that all but the first step follow
+    /// another change of the list. Servers that are removed without draining keep answering, so that only the list
+    /// shows their removal.
     pub(super) fn replace_in_steps(&mut self, at_s: f64) {
         let mut servers: Vec<u16> = (0..SERVERS_PER_ZONE * ZONE_COUNT).collect();
         servers.shuffle(&mut self.rng);
--- a/crates/fault-injection/src/soak/tests.rs
+++ b/crates/fault-injection/src/soak/tests.rs
@@ -1,4 +1,4 @@
-//! Drawing and judging soak runs.
+//! Tests of generating and checking soak runs.
 
 use std::collections::BTreeSet;
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn in_every_plan_servers_reject_in_ways_that_prove_nothing() {
+fn in_every_plan_servers_send_broken_rejections() {
     for seed in 0..200 {
         let rejecting = |event: &Event| {
             matches!(&event.action, Action::SetServers(_, ServerState::BrokenRejections(_)))
@@ -114,22 +114,25 @@
 }
 
 #[test]
-fn what_did_not_hold_is_found() {
+fn every_failed_check_is_a_finding() {
     let scenario = draw(1, SIZE);
     let recovered = || vec![sample(32.0, 100, 0), sample(36.0, 200, 5)];
     let sound = outcome(recovered(), Report::default());
-    assert_eq!(judge(&scenario, &sound, Vec::new()), Findings::default());
+    assert_eq!(check_outcome(&scenario, &sound, Vec::new()), Findings::default());
     let lost = Report { lost: 1, examples: vec!["x".to_owned()], ..Report::default() };
-    let findings = judge(&scenario, &outcome(recovered(), lost), Vec::new());
+    let findings = check_outcome(&scenario, &outcome(recovered(), lost), Vec::new());
     assert_eq!(findings.0, ["1 violations in the account of all requests", "1 lost", "x"]);
     let down = vec![sample(32.0, 100, 0), sample(36.0, 110, 100)];
-    assert_eq!(judge(&scenario, &outcome(down, Report::default()), Vec::new()).0.len(), 1);
+    assert_eq!(check_outcome(&scenario, &outcome(down, Report::default()), Vec::new()).0.len(), 1);
     let retried = vec![sample(32.0, 100, 20), sample(36.0, 200, 5)];
     let served_in_the_end = outcome(retried, Report::default());
-    assert_eq!(judge(&scenario, &served_in_the_end, Vec::new()), Findings::default());
+    assert_eq!(check_outcome(&scenario, &served_in_the_end, Vec::new()), Findings::default());
     let crashed = Outcome { problems: vec!["s1 has ended by itself".to_owned()], ..sound.clone() };
-    assert_eq!(judge(&scenario, &crashed, Vec::new()).0.len(), 1);
-    assert_eq!(judge(&scenario, &sound, vec!["s1: protocol rule violated".to_owned()]).0.len(), 1);
+    assert_eq!(check_outcome(&scenario, &crashed, Vec::new()).0.len(), 1);
+    assert_eq!(
+        check_outcome(&scenario, &sound, vec!["s1: protocol rule violated".to_owned()]).0.len(),
+        1
+    );
 }
 
 #[test]
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -1,5 +1,5 @@
-//! Everything that takes part in a run: discovery, log servers, the relays, the sidecars' processes and their
-//! clients. It applies the actions of a scenario, and samples the state.
+//! The testbed of a run: discovery, log servers, relays, the sidecars' processes and their clients. It applies the
+//! actions of a scenario and samples the state.
 
 use std::io;
 use std::net::SocketAddr;
@@ -39,7 +39,8 @@
 }
 
 impl Programs {
-    /// The programs of this workspace, built if they are older than their sources. `progress` shows the build.
+    /// Returns the programs of this workspace. They are built if they are older than their sources. `progress` shows
+    /// the progress of the build.
     ///
     /// # Errors
     ///
@@ -50,10 +51,10 @@
     }
 }
 
-/// Why a testbed could not be started, or an action not applied.
+/// A testbed could not be started, or an action could not be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// The system refused something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A sidecar's process could not be started.
@@ -65,7 +66,7 @@
         source: io::Error,
     },
     /// A sidecar did not become ready.
-    #[error("s{sidecar} does not serve; the last it told: {last_log_line}")]
+    #[error("s{sidecar} did not become ready; last log line: {last_log_line}")]
     NotReady {
         /// The sidecar's number.
         sidecar: usize,
@@ -74,8 +75,8 @@
     },
 }
 
-/// What a line of a sidecar's log contains that tells of a violated rule or a panic.
-const VIOLATION_MARKS: [&str; 2] = ["protocol rule violated", "panicked at"];
+/// The texts by which log lines of a sidecar that report a violated rule or a panic are recognized.
+const VIOLATION_PATTERNS: [&str; 2] = ["protocol rule violated", "panicked at"];
 
 /// A sidecar of the testbed, with its own discovery.
 struct Sidecar {
@@ -83,39 +84,39 @@
     listen: SocketAddr,
     admin: SocketAddr,
     config: Value,
-    /// Its share of the load, from 0 to 1.
+    /// The share of the load that it gets, from 0 to 1.
     load_share: f64,
     /// Whether it should be running.
     expected: bool,
-    /// When it was asked to shut down, if it was.
+    /// The time at which it was asked to shut down. `None` if it was not.
     terminated_at: Option<Instant>,
     /// Stops its clients when set to true.
     stop_clients: Option<watch::Sender<bool>>,
     registry: Registry,
-    /// Its discovery answers nothing.
+    /// Whether its discovery answers no requests.
     discovery_is_silent: bool,
 }
 
-/// A log server, or the place of one that was killed.
+/// A log server, which may have been killed.
 struct ServerSlot {
     zone: usize,
     server: LogServer,
     spec: ServerSpec,
-    /// Its entry in the discovery of each sidecar.
+    /// The server's entry in the discovery of each sidecar.
     entries: Vec<Entry>,
 }
 
-/// The factors on the load, relative to the start.
+/// The factors on the load, relative to the start of the run.
 struct LoadFactors {
     tenants: Vec<f64>,
     all: f64,
 }
 
-/// A running testbed. Dropping it ends all of it.
+/// A running testbed. Everything in it stops when it is dropped.
 pub struct Testbed {
     /// The links between the nodes.
     pub network: Network,
-    /// What became of every request.
+    /// The account of all requests.
     pub account: Arc<Account>,
     scenario: Scenario,
     programs: Programs,
@@ -127,7 +128,7 @@
     client_tasks: Vec<JoinHandle<()>>,
     load_factors: LoadFactors,
     discovery: Availability,
-    /// How often clients were started, for their seeds.
+    /// The number of times that clients were started, for their seeds.
     client_starts: u64,
     crashes: u64,
     problems: Vec<String>,
@@ -135,7 +136,7 @@
 }
 
 impl Testbed {
-    /// Stops the clients, waits for their open requests, and closes the account.
+    /// Stops the clients, waits for their open requests, and returns the final account.
     pub fn finish(&mut self) -> Report {
         for n in 0..self.sidecars.len() {
             self.stop_clients(n);
@@ -148,17 +149,18 @@
         self.account.report()
     }
 
-    /// The violations of rules that the sidecars' own logs tell, in words.
+    /// Returns the lines of the sidecars' logs that report violated rules or panics.
     pub fn logged_violations(&self) -> Vec<String> {
         let log = |(n, sidecar): (usize, &Sidecar)| {
             let log = std::fs::read_to_string(sidecar.process.log_path()).unwrap_or_default();
-            let told = log.lines().filter(|line| VIOLATION_MARKS.iter().any(|m| line.contains(m)));
-            told.map(|line| format!("s{n}: {line}")).collect::<Vec<_>>()
+            let reported =
+                log.lines().filter(|line| VIOLATION_PATTERNS.iter().any(|p| line.contains(p)));
+            reported.map(|line| format!("s{n}: {line}")).collect::<Vec<_>>()
         };
         self.sidecars.iter().enumerate().flat_map(log).collect()
     }
 
-    /// The sidecars that have exited by themselves, in words.
+    /// Returns descriptions of sidecars that exited unexpectedly or took too long to shut down.
     pub fn problems(&self) -> &[String] {
         &self.problems
     }
--- a/crates/fault-injection/src/testbed/actions.rs
+++ b/crates/fault-injection/src/testbed/actions.rs
@@ -14,12 +14,13 @@
 use crate::links::Node;
 use crate::scenario::{Action, Availability, DiscoveryFaults, ServerState};
 
-/// How long after the longest deadline a sidecar that was asked to end may be killed, by the protocol.
+/// The time after the longest deadline from which a sidecar that was asked to shut down may be killed, by the protocol.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// How long a graceful shutdown may last beyond the longest deadline, by the protocol, and what a busy machine may add.
+/// The time after the longest deadline by which a graceful shutdown must have ended: the limit of the protocol, and an
+/// allowance for a busy machine.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700 + 800);
 
-/// The value of `settings.discovery` where an agent has the lists.
+/// The value of `settings.discovery` if an agent provides the lists.
 const PUSHED_LISTS: &str = "pushed";
 
 impl Testbed {
@@ -27,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// What could not be done.
+    /// When a process or a server cannot be started, or a file cannot be written.
     pub fn apply(&mut self, fault: usize, action: &Action) -> Result<(), TestbedError> {
         match action {
             Action::Inject { fault, .. } => {
@@ -100,7 +101,7 @@
 
     fn terminate(&mut self, sidecars: &BTreeSet<u16>) {
         for n in indices(sidecars) {
-            if !self.scenario.clients_stay {
+            if !self.scenario.clients_send_during_shutdown {
                 self.stop_clients(n);
             }
             self.sidecars[n].expected = false;
@@ -115,8 +116,8 @@
         discard_state: bool,
     ) -> Result<(), TestbedError> {
         for n in indices(sidecars) {
-            // One that was asked to shut down and still runs is killed. What it has not answered by the
-            // earliest moment of a kill is lost.
+            // A sidecar that was asked to shut down and is still running is killed. Before the earliest time of a
+            // kill that the protocol allows, its open requests may be lost.
             if self.sidecars[n].process.id().is_some() {
                 if !self.may_be_killed(n) {
                     self.account.expect_kill(self.sidecars[n].listen);
@@ -133,14 +134,14 @@
         Ok(())
     }
 
-    /// Whether a sidecar was asked to end so long ago that it has to have answered everything.
+    /// Returns whether a sidecar was asked to shut down so long ago that it must have answered all requests.
     fn may_be_killed(&self, n: usize) -> bool {
         let longest = self.account.classes().iter().map(|class| class.deadline).max();
         let earliest = longest.unwrap_or_default() + KILL_GRACE;
         self.sidecars[n].terminated_at.is_some_and(|at| at.elapsed() >= earliest)
     }
 
-    /// Records a shutdown that takes longer than any request may.
+    /// Records a shutdown that takes longer than the protocol allows.
     fn check_shutdown_time(&mut self, n: usize) {
         let longest = self.account.classes().iter().map(|class| class.deadline).max();
         let allowed = longest.unwrap_or_default() + SHUTDOWN_GRACE;
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Patches configurations and lets the sidecars read them again. The file is replaced at once, so that none is
-    /// read half written.
+    /// Patches configurations and makes the sidecars reload them. The file is replaced atomically, so that a partial
+    /// one is never read.
     fn configure(&mut self, sidecars: &BTreeSet<u16>, patch: &Value) -> Result<(), TestbedError> {
         for n in indices(sidecars) {
             let sidecar = &mut self.sidecars[n];
@@ -212,7 +213,7 @@
         Ok(())
     }
 
-    /// Replaces a server by a new one without faults.
+    /// Replaces a server with a new one without faults.
     fn restart_server(&mut self, n: u16) -> Result<(), TestbedError> {
         let slot = &mut self.servers[usize::from(n)];
         slot.server.kill();
@@ -228,7 +229,7 @@
         Ok(())
     }
 
-    /// Lists servers with a health that wants no new requests, all of them in one version of the list.
+    /// Lists servers with a health that allows no new requests, all of them in one version of the list.
     fn withdraw_servers(&self, servers: &BTreeSet<u16>, health: &'static str) {
         self.change_drains(|deadlines, now| {
             servers.iter().for_each(|&server| deadlines.set_draining(server, true, now));
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Tells the watch by which rules each sidecar follows its discovery.
+    /// Sets the drain rule of each sidecar in the drain watch, from its configuration.
     pub(super) fn set_drain_rules(&self) {
         let rule = |sidecar: &Sidecar| {
             let settings = &sidecar.config["settings"];
@@ -265,7 +266,7 @@
         self.update_reachability();
     }
 
-    /// Tells the watch which sidecars can reach their discovery.
+    /// Updates in the drain watch which sidecars can reach their discovery.
     fn update_reachability(&self) {
         for (n, sidecar) in self.sidecars.iter().enumerate() {
             let n = n as u16;
--- a/crates/fault-injection/src/testbed/clients.rs
+++ b/crates/fault-injection/src/testbed/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of the sidecars.
+//! Starts and stops the clients of the sidecars.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use super::probe::is_ready;
 use super::setup::{READY_POLL_INTERVAL, START_TIMEOUT};
 
-/// Fewer requests per second than this are none.
+/// The rate of requests per second below which no clients are started.
 const MIN_REQUESTS_PER_S: f64 = 1e-3;
-/// How long clients wait beyond a deadline, before the scenario's time scale.
+/// The time that clients wait beyond a deadline, before scaling by the scenario's time scale.
 const CLIENT_SLACK: Duration = Duration::from_millis(500);
 
 impl Testbed {
-    /// Starts the clients of all sidecars that should be running, with the present load factors.
+    /// Starts the clients of all sidecars that should be running, with the current load factors.
     pub fn start_all_clients(&mut self) {
         for n in 0..self.sidecars.len() {
             if self.sidecars[n].expected {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Starts the clients of a sidecar anew. They send nothing before the sidecar is ready.
+    /// Restarts the clients of a sidecar. They send nothing before the sidecar is ready.
     pub(super) fn start_clients(&mut self, n: usize) {
         self.stop_clients(n);
         let Some(load) = self.client_load(n) else { return };
@@ -49,7 +49,7 @@
         self.client_tasks.push(fakes::runtime().spawn(clients));
     }
 
-    /// The load of a sidecar's clients, if there is any.
+    /// Returns the load of a sidecar's clients, or `None` if there is none.
     fn client_load(&mut self, n: usize) -> Option<Load> {
         let load = &self.scenario.load;
         let total_share = load.total_share();
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Stops the clients of a sidecar. Their open requests are still waited for.
+    /// Stops the clients of a sidecar. They still wait for their open requests.
     pub(super) fn stop_clients(&mut self, n: usize) {
         if let Some(stop) = self.sidecars[n].stop_clients.take() {
             stop.send_replace(true);
--- a/crates/fault-injection/src/testbed/configuration.rs
+++ b/crates/fault-injection/src/testbed/configuration.rs
@@ -1,4 +1,4 @@
-//! The configurations of the sidecars.
+//! Builds the configurations of the sidecars.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 
 /// The addresses of a sidecar's listeners.
 pub(super) struct SidecarAddresses {
-    /// For requests.
+    /// The listener for requests.
     pub listen: SocketAddr,
-    /// For operators.
+    /// The admin listener.
     pub admin: SocketAddr,
-    /// For gossip.
+    /// The socket for gossip.
     pub gossip: SocketAddr,
 }
 
-/// The configuration of a sidecar at the start, with the patches of the scenario.
+/// Returns the initial configuration of a sidecar, with the patches of the scenario.
 pub(super) fn configuration(
     scenario: &Scenario,
     n: usize,
--- a/crates/fault-injection/src/testbed/probe.rs
+++ b/crates/fault-injection/src/testbed/probe.rs
@@ -1,4 +1,4 @@
-//! Asks sidecars for their readiness and their metrics.
+//! Queries the readiness and the metrics of sidecars.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,28 +9,28 @@
 
 use crate::sample::SidecarMetrics;
 
-/// How long a sidecar may take to answer.
+/// The timeout for a sidecar's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer that is read, in bytes.
+/// The maximum length of an answer that is read, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 << 10;
-/// What the names of a sidecar's metrics begin with on its admin listener.
+/// The prefix of a sidecar's metric names on its admin listener.
 const METRIC_PREFIX: &str = "sidecar.";
 
-/// Whether the sidecar at this address is ready for requests.
+/// Returns whether the sidecar at this address is ready for requests.
 pub(super) async fn is_ready(listen: SocketAddr) -> bool {
     let request = "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-    let answer = tokio::time::timeout(ANSWER_TIMEOUT, ask(listen, request)).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, query(listen, request)).await;
     answer.is_ok_and(|answer| answer.is_ok_and(|text| text.starts_with("HTTP/1.1 200")))
 }
 
-/// The metrics of the sidecar with this admin listener; none without an address, or when it does not answer.
+/// Returns the metrics of the sidecar with this admin listener. `None` without an address, or if it does not answer.
 pub(super) async fn sidecar_metrics(admin: Option<SocketAddr>) -> Option<SidecarMetrics> {
     let admin = admin?;
     let answers = async {
-        let statistics = ask(admin, "show-stat\n").await?;
-        // An earlier version answers with an error, which is no metric.
-        let events = ask(admin, "show-events\n").await?;
-        let discovery = ask(admin, "show-discovery\n").await?;
+        let statistics = query(admin, "show-stat\n").await?;
+        // Versions without this command answer with an error, which is not parsed as a metric.
+        let events = query(admin, "show-events\n").await?;
+        let discovery = query(admin, "show-discovery\n").await?;
         Ok::<_, io::Error>(statistics + &events + &discovery)
     };
     let answers = tokio::time::timeout(ANSWER_TIMEOUT, answers).await.ok()?.ok()?;
@@ -42,7 +42,8 @@
     (!metrics.is_empty()).then_some(metrics)
 }
 
-async fn ask(address: SocketAddr, request: &str) -> io::Result<String> {
+/// Sends a request and reads the answer until the connection ends.
+async fn query(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut socket = TcpStream::connect(address).await?;
     socket.write_all(request.as_bytes()).await?;
     let mut answer = Vec::new();
--- a/crates/fault-injection/src/testbed/sampling.rs
+++ b/crates/fault-injection/src/testbed/sampling.rs
@@ -7,19 +7,19 @@
 use super::{Sidecar, Testbed};
 use crate::sample::{ResourceUse, Sample, SidecarMetrics, Totals};
 
-/// A sample that waits for the metrics of the sidecars.
+/// A sample that is complete except for the metrics of the sidecars.
 pub struct PendingSample {
     sample: Sample,
     sidecar_metrics: Vec<JoinHandle<Option<SidecarMetrics>>>,
 }
 
 impl PendingSample {
-    /// Whether every sidecar has answered or timed out.
+    /// Returns whether every sidecar has answered or timed out.
     pub fn is_complete(&self) -> bool {
         self.sidecar_metrics.iter().all(JoinHandle::is_finished)
     }
 
-    /// The sample; waits for the answers that are missing.
+    /// Waits for the missing answers and returns the sample.
     pub fn complete(self) -> Sample {
         let wait = |task: JoinHandle<_>| fakes::runtime().block_on(task).ok().flatten();
         let sidecar_metrics = self.sidecar_metrics.into_iter().map(wait).collect();
@@ -28,7 +28,8 @@
 }
 
 impl Testbed {
-    /// Samples the present state. The sidecars' metrics follow later, so that a sidecar that hangs delays nothing.
+    /// Samples the current state. The sidecars' metrics are queried in the background, so that a sidecar that hangs
+    /// delays nothing.
     pub fn sample(&mut self) -> PendingSample {
         self.count_crashes();
         let metrics = self.sidecars.iter().map(|sidecar| {
@@ -64,7 +65,7 @@
     }
 }
 
-/// What a sidecar that should be running takes, and what its configuration allows.
+/// Returns the resources that a sidecar uses, and the limits of its configuration. `None` if it should not be running.
 fn resource_use(sidecar: &Sidecar) -> Option<ResourceUse> {
     let (descriptors, memory_kib) =
         sidecar.expected.then(|| sidecar.process.descriptors_and_memory()).flatten()?;
--- a/crates/fault-injection/src/testbed/setup.rs
+++ b/crates/fault-injection/src/testbed/setup.rs
@@ -24,15 +24,15 @@
 use crate::relay::Relay;
 use crate::scenario::{Availability, Scenario};
 
-/// How long a sidecar may take to become ready.
+/// The time within which a sidecar must become ready.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause between two checks whether a sidecar is ready.
+/// The interval between readiness checks of a sidecar.
 pub(super) const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Requests that may queue at a server, for each of its cores.
+/// The number of requests that may queue at a server, per core.
 const SERVER_QUEUE_PER_CORE: usize = 8;
-/// Connections that a server accepts, for each of its cores.
+/// The number of connections on which a server accepts requests, per core.
 const SERVER_CONNECTIONS_PER_CORE: usize = 80;
-/// The share of its speed that a server starts with.
+/// The share of its full speed that a server has at start.
 const SERVER_COLD_SHARE: f64 = 0.16;
 
 /// Ports for all sidecars, reserved until they are started.
@@ -57,11 +57,11 @@
 }
 
 impl Testbed {
-    /// Starts everything but the clients, and waits until every sidecar is ready.
+    /// Starts everything except the clients, and waits until every sidecar is ready.
     ///
     /// # Errors
     ///
-    /// The first thing that could not be done.
+    /// When a part cannot be started, or a sidecar does not become ready.
     pub fn start(scenario: Scenario, programs: Programs) -> Result<Testbed, TestbedError> {
         raise_descriptor_limit();
         let network = Network::new(Links::with_baseline(scenario.baseline), scenario.seed);
@@ -93,7 +93,7 @@
                 discovery_is_silent: false,
             });
         }
-        // From here on the ports are free for the sidecars. No other process uses this address.
+        // Releases the ports for the sidecars. No other process uses this address.
         drop(addresses);
         network.watch_drains(DrainWatch::new(account.clone()));
         let tenants = vec![1.0; scenario.load.tenants.len()];
@@ -127,7 +127,7 @@
         (0..self.sidecars.len()).try_for_each(|n| self.wait_ready(n))
     }
 
-    /// Starts the process of a sidecar with its present configuration.
+    /// Starts the process of a sidecar with its current configuration.
     pub(super) fn start_sidecar(
         &mut self,
         n: usize,
@@ -157,12 +157,12 @@
     }
 }
 
-/// The rates at which the system calls of a sidecar fail. Each sidecar draws for itself.
+/// Returns the failure rates of a sidecar's system calls, with a seed of its own.
 fn system_calls(scenario: &Scenario, n: usize) -> Option<FaultRates> {
     scenario.system_calls.map(|rates| FaultRates { seed: rates.seed ^ (n as u32) << 16, ..rates })
 }
 
-/// Raises the limit on open descriptors as far as the system allows.
+/// Raises the soft limit on open descriptors to the hard limit.
 fn raise_descriptor_limit() {
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
     let _ = setrlimit(Resource::Nofile, Rlimit { current: maximum, maximum });
@@ -210,8 +210,8 @@
     Ok(servers)
 }
 
-/// Starts the discovery of a sidecar and its relays to all servers. Every sidecar has a discovery of its own,
-/// because it reaches the servers at addresses of its own.
+/// Starts the discovery of a sidecar and its relays to all servers. Every sidecar has its own discovery, because it
+/// reaches the servers through its own relays, at their addresses.
 fn start_discovery(
     n: usize,
     network: &Network,
@@ -238,7 +238,7 @@
     fakes::runtime().block_on(relay)
 }
 
-/// The share of the load that a sidecar gets: Zipf's law over their numbers.
+/// Returns the share of the load that a sidecar gets, by Zipf's law over the sidecars' numbers.
 fn load_share(scenario: &Scenario, n: usize) -> f64 {
     let weight = |n: usize| (n as f64 + 1.0).powf(-scenario.load.zipf_exponent);
     let total: f64 = (0..usize::from(scenario.sidecar_count)).map(weight).sum();
--- a/crates/fault-injection/tests/compatibility.rs
+++ b/crates/fault-injection/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Trial files of earlier versions are read as they were, and the plan and the journal are written as they were.
+//! Guards the formats of trial files, plans and journals: files of earlier versions must still be read, and the plan
+//! and the journal must keep their form.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 
 const EVERY_KEY: &str = include_str!("fixtures/every-key.toml");
 const FORMER_KEYS: &str = include_str!("fixtures/former-keys.toml");
-/// The plan of `every-key.toml`, as the program wrote it into a journal.
+/// The plan of `every-key.toml` as a journal contains it.
 const PLAN: &str = include_str!("fixtures/every-key.plan.json");
 
 fn parsed(text: &str) -> Scenario {
@@ -106,9 +107,9 @@
         .into_iter()
         .map(|e| (e.metric, e.sidecars, (e.from_s, e.to_s), (e.min, e.max), e.reference, e.line))
         .collect();
-    let whole = (0.0, 30.0);
+    let whole_run = (0.0, 30.0);
     let asked = Some(Reference { metric: Metric::Rate(Completion::Any, None), tolerance: 0.2 });
-    let of = |metric, bounds, line| (metric, all.clone(), whole, bounds, None, line);
+    let of = |metric, bounds, line| (metric, all.clone(), whole_run, bounds, None, line);
     let wanted = [
         of(Metric::Violations, (None, Some(0.0)), 137),
         (
@@ -130,7 +131,7 @@
         (
             Metric::Sidecar("tier.reach".to_owned()),
             [0, 1, 2].into(),
-            whole,
+            whole_run,
             (None, None),
             asked,
             182,
--- a/crates/fault-injection/tests/relays.rs
+++ b/crates/fault-injection/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The relays with real sockets, and the process guard with real processes.
+//! Tests of the relays with real sockets, and of the process guard with real processes.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -23,7 +23,7 @@
     corrupt: 0.0,
     rate: 0,
 };
-/// How long nothing must arrive where nothing is expected.
+/// The time for which nothing must arrive when nothing is expected.
 const QUIET: Duration = Duration::from_millis(400);
 
 fn network() -> Network {
@@ -36,7 +36,7 @@
     network.update(|links| links.inject(fault));
 }
 
-/// A relay to a server that echoes what it receives.
+/// Starts a relay to a server that echoes the data it receives.
 fn echo(network: &Network) -> Relay {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     network.set_address(SERVER, listener.local_addr().expect("an address"));
@@ -56,7 +56,7 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let socket = TcpStream::connect(address).expect("it comes up");
+    let socket = TcpStream::connect(address).expect("a connection");
     socket.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
     socket
 }
@@ -64,7 +64,7 @@
 fn echoed(socket: &mut TcpStream, text: &[u8]) -> Vec<u8> {
     socket.write_all(text).expect("written");
     let mut got = vec![0; text.len()];
-    socket.read_exact(&mut got).expect("it comes back");
+    socket.read_exact(&mut got).expect("an echo");
     got
 }
 
@@ -74,18 +74,18 @@
     let relay = echo(&network);
     let mut open = connect(relay.address);
     assert_eq!(echoed(&mut open, b"before"), b"before");
-    // One direction alone is cut: the server's data is held back, the client's is not.
+    // Only one direction is cut: the server's data is held back, the client's is not.
     inject(&network, SERVER, ME, CUT);
     open.write_all(b"during").expect("written");
     open.set_read_timeout(Some(QUIET)).expect("set");
     let silent = open.read(&mut [0; 64]).expect_err("nothing passes, not even a reset");
     assert_eq!(silent.kind(), ErrorKind::WouldBlock);
-    // A connection may still come up until the relay has filled its backlog.
-    until("no connection comes up", || TcpStream::connect_timeout(&relay.address, QUIET).is_err());
+    // Connections may still be established until the relay has filled its backlog.
+    until("no new connections", || TcpStream::connect_timeout(&relay.address, QUIET).is_err());
     network.update(|links| links.clear(0));
     let mut got = [0; 6];
     open.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
-    open.read_exact(&mut got).expect("what was held comes");
+    open.read_exact(&mut got).expect("the data that was held back");
     assert_eq!(&got, b"during");
     assert_eq!(echoed(&mut connect(relay.address), b"after"), b"after");
 }
@@ -96,13 +96,13 @@
     let relay = echo(&network);
     assert_eq!(echoed(&mut connect(relay.address), b"before"), b"before");
     network.update(|links| links.take_down(SERVER));
-    until("they are refused", || {
+    until("connections are refused", || {
         TcpStream::connect(relay.address).is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused)
     });
     let taken = TcpListener::bind(relay.address).expect_err("another run must not get its port");
     assert_eq!(taken.kind(), ErrorKind::AddrInUse);
     network.update(|links| links.bring_up(SERVER));
-    until("they come up", || TcpStream::connect(relay.address).is_ok());
+    until("connections are accepted", || TcpStream::connect(relay.address).is_ok());
     assert_eq!(echoed(&mut connect(relay.address), b"after"), b"after");
 }
 
@@ -223,10 +223,10 @@
     std::io::BufRead::read_line(&mut out, &mut line).expect("an id");
     let stat = format!("/proc/{}/stat", line.trim());
     let sleeps = || std::fs::read_to_string(&stat).is_ok_and(|s| s.contains("(sleep) S"));
-    until("it became what it should", sleeps);
+    until("the guard runs the program", sleeps);
     shell.kill().expect("killed");
     shell.wait().expect("ended");
-    until("it ended too", || {
+    until("the program ends", || {
         let state = std::fs::read_to_string(&stat).unwrap_or_default();
         state.is_empty() || state.contains(") Z ")
     });
--- a/crates/fault-injection/tests/trials.rs
+++ b/crates/fault-injection/tests/trials.rs
@@ -1,4 +1,4 @@
-//! Scenarios played with real sidecar processes.
+//! Runs the trial files with real sidecar processes.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,7 +15,7 @@
     Scenario::parse(&text, None).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// Two scenarios run at a time: each has a dozen processes.
+/// At most two scenarios run at a time, because each has a dozen processes.
 static SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
@@ -27,15 +27,15 @@
     let mut events = 0;
     let outcome =
         run(&scenario, programs, |p| events += usize::from(matches!(p, Progress::Event(_))));
-    let outcome = outcome.expect("it can be played");
+    let outcome = outcome.expect("a complete run");
     let failed: Vec<_> = outcome.verdicts.iter().filter(|v| !v.passed).collect();
     let (examples, problems) = (&outcome.account.examples, &outcome.problems);
     assert!(outcome.passed, "{failed:?} {examples:?} {problems:?}");
     assert_eq!(events, scenario.events.len(), "every event was applied");
     let page = html_report::html(&scenario, &outcome);
-    assert!(page.matches("<svg").count() >= 3 && page.contains("polyline"), "it has plots");
-    let from_elsewhere = ["src=", "href=", "@import", "<script"];
-    assert!(from_elsewhere.iter().all(|text| !page.contains(text)), "it opens without a network");
+    assert!(page.matches("<svg").count() >= 3 && page.contains("polyline"), "the page has plots");
+    let external = ["src=", "href=", "@import", "<script"];
+    assert!(external.iter().all(|text| !page.contains(text)), "the page is self-contained");
 }
 
 #[test]
