--- a/src/sidecar/live.rs
+++ b/src/sidecar/live.rs
@@ -18,8 +18,8 @@
     pub connect: Duration,
     /// How long a connection may be idle before servers close it.
     pub idle: Duration,
-    /// Between two pieces of a response.
-    pub gap: Duration,
+    /// The longest time between two pieces of a response.
+    pub read: Duration,
 }
 
 impl AttemptTimeouts {
@@ -131,6 +131,6 @@
     AttemptTimeouts {
         connect: Duration::from_micros(limits.connect_timeout),
         idle: Duration::from_micros(limits.connection_idle_timeout),
-        gap: Duration::from_micros(shortest_objective.unwrap_or_default()),
+        read: Duration::from_micros(shortest_objective.unwrap_or_default()),
     }
 }
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -59,7 +59,7 @@
     /// Where clients connect.
     pub listener: P::Listener,
     /// A predecessor accepts on the same listener, until this sidecar can serve.
-    pub shared: bool,
+    pub listener_shared: bool,
     /// Where datagrams of other sidecars arrive, if they may.
     pub peers: Option<P::Udp>,
     /// Where operators connect, if they may.
@@ -100,7 +100,7 @@
     H: Future<Output = ()>,
     R: Fn() -> Result<Config, ConfigError>,
 {
-    let Sockets { listener, shared, peers, admin, admin_state_file } = sockets;
+    let Sockets { listener, listener_shared, peers, admin, admin_state_file } = sockets;
     let components = Components::<P>::new(&config, peers)?;
     let how = config.settings.discovery;
     let stop_sending_within = Duration::from_micros(config.settings.rules.drain_deadline);
@@ -134,7 +134,7 @@
     let Control { stop, hand_over, reload, read } = control;
     let reloading = reload::run(reload, read, targets);
     let live = components.live.clone();
-    let serving = Serving { ingress, admin, live, listener, shared, discovery_attempted };
+    let serving = Serving { ingress, admin, live, listener, listener_shared, discovery_attempted };
     serving.run(reloading, stop, hand_over).await;
     components.status.changed.notify_one();
     Ok(())
--- a/src/sidecar/startup.rs
+++ b/src/sidecar/startup.rs
@@ -96,7 +96,7 @@
         let admin_state_file = folder
             .filter(|_| admin.is_some())
             .map(|folder| StateFile::new(folder.as_ref(), &config.name));
-        Ok(Sockets { listener, shared, peers, admin, admin_state_file })
+        Ok(Sockets { listener, listener_shared: shared, peers, admin, admin_state_file })
     }
 }
 
@@ -265,7 +265,7 @@
     pub live: Rc<LiveConfig>,
     pub listener: P::Listener,
     /// A predecessor accepts on the same listener.
-    pub shared: bool,
+    pub listener_shared: bool,
     /// Notified once discovery has been attempted.
     pub discovery_attempted: Rc<Notify>,
 }
@@ -280,9 +280,9 @@
         stop: impl Future<Output = ()>,
         hand_over: impl Future<Output = ()>,
     ) {
-        let Serving { ingress, admin, live, listener, shared, discovery_attempted } = self;
+        let Serving { ingress, admin, live, listener, listener_shared, discovery_attempted } = self;
         let (report_serving, can_serve) = oneshot::channel();
-        let mut accepting = Box::pin(accept(ingress.clone(), listener, shared, can_serve));
+        let mut accepting = Box::pin(accept(ingress.clone(), listener, listener_shared, can_serve));
         let mut reloading = Box::pin(reloading);
         tokio::pin!(stop, hand_over);
         let shutdown = tokio::select! {
@@ -297,7 +297,9 @@
         };
         let shutdown = match shutdown {
             // What connects from now on is the successor's, and would be kept from it.
-            Shutdown::Drain if shared && admin.is_some_and(|admin| admin.is_succeeded()) => {
+            Shutdown::Drain
+                if listener_shared && admin.is_some_and(|admin| admin.is_succeeded()) =>
+            {
                 Shutdown::HandOver
             }
             shutdown => shutdown,
--- a/src/sidecar/upstream/exchange.rs
+++ b/src/sidecar/upstream/exchange.rs
@@ -95,7 +95,7 @@
                 observer.response_began().await;
                 continue;
             };
-            expiry::<P>(active_at + self.live.timeouts().gap).await;
+            expiry::<P>(active_at + self.live.timeouts().read).await;
             if observer.response_active_at() == Some(active_at) {
                 return;
             }
--- a/src/sidecar/upstream/response.rs
+++ b/src/sidecar/upstream/response.rs
@@ -211,7 +211,7 @@
         connection: Connection<P>,
         body: Incoming,
     ) {
-        let gap = self.live.timeouts().gap;
+        let gap = self.live.timeouts().read;
         let upstream = self.clone();
         P::spawn(async move {
             if let Ok(true) = timeout::<P, _>(gap, is_whole(body)).await {
