--- a/src/sidecar/admin/command.rs
+++ b/src/sidecar/admin/command.rs
@@ -1,31 +1,31 @@
-//! The commands of operators. No I/O here.
+//! The admin commands and their parser. This module does no I/O.
 
 use thiserror::Error;
 
-/// One command.
+/// An admin command. Log lines contain the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether clients may connect.
+    /// Asks whether clients may connect.
     Ready,
-    /// Counters and gauges of the sidecar.
+    /// Reports counters and gauges of the sidecar.
     ShowStat,
-    /// Counters of rare events.
+    /// Reports counters of rare events.
     ShowEvents,
-    /// The endpoint list in force, and the calls of discovery.
+    /// Reports the current endpoint list and the calls of discovery.
     ShowDiscovery,
-    /// The membership table of the tier.
+    /// Reports the membership table of the tier.
     ShowTier,
-    /// Sends no new requests to a server until it is enabled again.
+    /// Disables a server: it gets no new requests until it is enabled again.
     DisableServer(String),
     /// Enables a server that was disabled.
     EnableServer(String),
-    /// Asks clients to leave, until the sidecar is resumed.
+    /// Drains the sidecar: clients are asked to connect elsewhere until it is resumed.
     Drain,
-    /// Accepts clients again.
+    /// Ends draining.
     Resume,
 }
 
-/// Why a line is not a command.
+/// An error because of which a line is not a command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     /// The line is empty.
@@ -34,13 +34,13 @@
     /// No command has this name.
     #[error("no such call")]
     UnknownCommand,
-    /// The command needs the name of a server.
+    /// The name of a server is missing.
     #[error("{command}: the name of a server expected")]
     MissingServer {
         /// The command's name.
         command: String,
     },
-    /// The command takes fewer words.
+    /// The line has more words than the command takes.
     #[error("{command}: more words than expected")]
     TrailingWords {
         /// The command's name.
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the line.
+    /// When the line is not a command.
     pub fn parse(line: &str) -> Result<Command, ParseError> {
         let mut words = line.split_ascii_whitespace();
         let name = words.next().ok_or(ParseError::Empty)?;
--- a/src/sidecar/admin/command/tests.rs
+++ b/src/sidecar/admin/command/tests.rs
@@ -1,4 +1,4 @@
-//! Which lines are commands.
+//! Tests of parsing commands.
 
 use super::*;
 
--- a/src/sidecar/admin/connection.rs
+++ b/src/sidecar/admin/connection.rs
@@ -1,39 +1,39 @@
-//! Reading a command's line from an operator's connection, and writing the response.
+//! Reading a command from an admin connection and writing the response.
 
 use std::io::ErrorKind;
 
 use runtime::{Runtime, Tcp};
 use thiserror::Error;
 
-/// The longest line of a command, in bytes.
+/// Maximum length of a command line, in bytes.
 const MAX_LINE_BYTES: usize = 512;
 
-/// Why no complete line was received.
+/// An error because of which no complete line was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The connection was closed within a line. Half of a line is not a command: "disable-server s-1" may have been
-    /// meant for s-12.
-    #[error("the line did not end")]
+    /// The connection was closed before the end of the line. An incomplete line is not executed: `disable-server s-1`
+    /// may have been meant for `s-12`.
+    #[error("the connection was closed before the end of the line")]
     Incomplete,
     /// The line is not UTF-8.
-    #[error("text expected")]
+    #[error("the line is not UTF-8")]
     NotText,
-    /// The line is longer than any command.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line is too long")]
     TooLong,
     /// Reading failed.
-    #[error("the connection broke")]
+    #[error("the connection failed")]
     Broken,
-    /// The line did not arrive in time.
-    #[error("a whole line expected")]
+    /// No complete line was received in time.
+    #[error("no complete line was received in time")]
     TimedOut,
 }
 
-/// Reads the first line, without its end. What follows it is ignored.
+/// Reads the first line, without the line break. Input after it is ignored.
 ///
 /// # Errors
 ///
-/// Why there is no complete line.
+/// When no complete line was received.
 pub async fn read_line<P: Runtime>(socket: &P::Tcp) -> Result<String, ReadError> {
     let mut line = Vec::new();
     let mut buffer = [0; MAX_LINE_BYTES];
@@ -59,7 +59,7 @@
     }
 }
 
-/// Writes all of `text`, or as much as the other end takes.
+/// Writes `text` until all of it is written or writing fails.
 pub async fn write_all<P: Runtime>(socket: &P::Tcp, mut text: &[u8]) {
     while !text.is_empty() {
         match socket.try_write(text) {
--- a/src/sidecar/admin/mod.rs
+++ b/src/sidecar/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin listener: operators send one command on each connection and get one response. What they order holds
-//! until they revoke it.
+//! The admin listener. Operators send one command on each connection and get one response. Changes that they make stay
+//! in effect until they are reverted.
 
 pub mod command;
 pub mod connection;
@@ -28,40 +28,41 @@
 use super::status::Status;
 use crate::api::ServerId;
 
-/// Connections of operators at once; the oldest is closed for another. They come out of the descriptors that
-/// `budget` reserves for the program itself.
+/// Maximum number of simultaneous admin connections. The oldest is closed when another is accepted. Their descriptors
+/// belong to those that `budget` reserves for the program itself.
 const MAX_CONNECTIONS: usize = 8;
-/// How long a caller may take to send its line, and then to take the response.
+/// Timeout for receiving a command, and another for sending the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection is read on after its response, so that the response is not lost in a reset.
+/// Time for which input is read and discarded after the response, since unread input would reset the connection and
+/// the response would be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// How many bytes are read on at the most.
+/// Maximum number of bytes that are discarded after the response.
 const LINGER_BYTES: usize = 4096;
-/// How often the state file is checked for changes of another process.
+/// Interval at which the state file is checked for changes by other processes.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause before the predecessor is told again that this process serves, after a failure.
+/// Delay before a failed announcement to the predecessor is repeated.
 const ANNOUNCEMENT_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// The pause before accepting again after a failure.
+/// Delay before the next accept after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves operators, and puts what they order in force.
+/// Serves admin connections and applies the changes made by operators.
 pub struct Admin<P: Runtime> {
     driver: Rc<Driver<P>>,
     ingress: Rc<Ingress<P>>,
     live: Rc<LiveConfig>,
     status: Rc<Status>,
-    /// Where the state is stored; without it the state ends with the process.
+    /// Stores the state; `None` if the state ends with the process.
     state_file: Option<StateFile>,
     state: RefCell<AdminState>,
-    /// Distinguishes this process from all others that write the same file.
-    process_id: u64,
-    /// Tasks of open connections, in the order in which they were accepted.
+    /// Distinguishes this process from all others that write the same state file.
+    process_token: u64,
+    /// Tasks of open connections by number, which is the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, P::TaskHandle>>,
     next_connection: Cell<u64>,
 }
 
 impl<P: Runtime> Admin<P> {
-    /// Puts the stored state in force.
+    /// Creates the admin interface and applies the stored state.
     pub fn new(
         driver: Rc<Driver<P>>,
         ingress: Rc<Ingress<P>>,
@@ -76,9 +77,9 @@
             status,
             state_file,
             state: RefCell::default(),
-            // Process numbers are ambiguous where each process has its own namespace; two processes of one sidecar
-            // do not start at the same nanosecond.
-            process_id: P::unix_time().as_nanos() as u64,
+            // A pid is ambiguous if each process has its own PID namespace, but two processes of one sidecar do not
+            // start in the same nanosecond.
+            process_token: P::unix_time().as_nanos() as u64,
             connections: RefCell::default(),
             next_connection: Cell::new(0),
         });
@@ -86,7 +87,7 @@
         admin
     }
 
-    /// Puts in force what another process has written since the last call.
+    /// Applies changes that another process has stored since the last call.
     fn poll_state_file(&self) {
         match self.state_file.as_ref().map(StateFile::read_if_changed) {
             Some(Ok(Some(state))) => self.set_state(state),
@@ -110,7 +111,7 @@
         *self.state.borrow_mut() = state;
     }
 
-    /// Watches for changes that another process writes; never ends.
+    /// Applies changes that other processes store; never returns.
     pub async fn watch(self: Rc<Admin<P>>) {
         loop {
             P::sleep(STATE_POLL_INTERVAL).await;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Stores that this process serves from now on, so that its predecessor leaves its clients to it. Returns after
-    /// the first attempt; a failed one is repeated in the background.
+    /// Announces in the state file that this process serves, so that its predecessor hands its clients over. Returns
+    /// after the first attempt. If that fails, the announcement is repeated in the background.
     pub async fn announce_serving(self: &Rc<Self>) {
         if self.try_announce_serving().await {
             return;
@@ -135,11 +136,11 @@
         });
     }
 
-    /// Whether the announcement is stored.
+    /// Stores the announcement. Returns whether that succeeded.
     async fn try_announce_serving(&self) -> bool {
-        let process_id = self.process_id;
+        let process_token = self.process_token;
         let announced = self.change_state(|state| {
-            state.serving_process = Some(process_id);
+            state.serving_process = Some(process_token);
             Ok(())
         });
         let announced = announced.await;
@@ -149,10 +150,10 @@
         announced.is_ok()
     }
 
-    /// Whether another process has announced since that it serves.
-    pub fn is_succeeded(&self) -> bool {
+    /// Whether another process has announced that it serves since this one did.
+    pub fn has_successor(&self) -> bool {
         self.poll_state_file();
-        self.state.borrow().serving_process.is_some_and(|id| id != self.process_id)
+        self.state.borrow().serving_process.is_some_and(|token| token != self.process_token)
     }
 
     async fn change_state(
@@ -171,7 +172,7 @@
         Ok(())
     }
 
-    /// Accepts operators; never ends.
+    /// Accepts admin connections; never returns.
     pub async fn listen(self: Rc<Admin<P>>, listener: P::Listener) {
         if let Ok(address) = listener.local_addr() {
             tracing::info!(%address, "admin listener started");
@@ -188,7 +189,7 @@
     }
 
     fn spawn_connection(self: &Rc<Admin<P>>, socket: P::Tcp) {
-        // Callers that connect and send nothing must not keep others out.
+        // Clients that connect and send nothing must not block others.
         if self.connections.borrow().len() >= MAX_CONNECTIONS
             && let Some((_, oldest)) = self.connections.borrow_mut().pop_first()
         {
@@ -214,7 +215,7 @@
         lingering_close::<P>(socket, LINGER_TIMEOUT, LINGER_BYTES).await;
     }
 
-    /// Reads a command and carries it out.
+    /// Reads and executes a command.
     async fn handle(&self, socket: &P::Tcp) -> Result<Response, CommandError> {
         let line = timeout::<P, _>(CALL_TIMEOUT, read_line::<P>(socket)).await;
         let line = line.map_err(|_| ReadError::TimedOut)??;
@@ -267,7 +268,7 @@
         let names = self.live.names();
         let mut classes: Vec<_> = names.classes.iter().collect();
         classes.sort_unstable_by_key(|(_, class)| class.index);
-        let counts = |(name, class): (&String, &super::config::ClassName)| ClassCounts {
+        let counts = |(name, class): (&String, &super::config::RequestClass)| ClassCounts {
             name: name.clone(),
             counts: self.status.class_request_counts(class.index),
         };
--- a/src/sidecar/admin/response.rs
+++ b/src/sidecar/admin/response.rs
@@ -1,4 +1,4 @@
-//! The responses to operators, and their form. No I/O here.
+//! The responses to admin commands and their text format. This module does no I/O.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::sidecar::discovery_status::DiscoverySnapshot;
 use crate::sidecar::events::EventCount;
 
-/// Why a command was not carried out.
+/// An error because of which a command was not executed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// No command was received.
@@ -22,13 +22,13 @@
     /// The line is not a command.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// The administrative state was not changed.
+    /// The admin state was not changed.
     #[error(transparent)]
     State(#[from] StateFileError),
     /// The sidecar is drained.
     #[error("drained")]
     Drained,
-    /// No server is known.
+    /// No endpoint list with servers has been received yet.
     #[error("no server is known yet")]
     NoServers,
     /// The sidecar does not take part in a tier.
@@ -39,17 +39,17 @@
 /// The response to a command.
 #[derive(Debug)]
 pub enum Response {
-    /// The command was carried out, or the question is answered with yes.
+    /// The command was executed, or the answer is yes.
     Done,
-    /// The command was not carried out.
+    /// The command was not executed.
     Error(CommandError),
     /// Counters and gauges.
     Statistics(Box<Statistics>),
     /// Counters of rare events.
     Events(Vec<EventCount>),
-    /// The endpoint list in force, and the calls of discovery.
+    /// The current endpoint list and the calls of discovery.
     Discovery(DiscoverySnapshot),
-    /// The members of the tier, and how long each has been in its state.
+    /// The members of the tier, each with the time since its last change of state.
     Members(Vec<(MemberRecord, Duration)>),
 }
 
--- a/src/sidecar/admin/response/tests.rs
+++ b/src/sidecar/admin/response/tests.rs
@@ -1,4 +1,4 @@
-//! The form of responses.
+//! Tests of the text format of responses.
 
 use std::io;
 
--- a/src/sidecar/admin/state.rs
+++ b/src/sidecar/admin/state.rs
@@ -1,4 +1,4 @@
-//! The administrative state: what operators have ordered and not revoked. No I/O here.
+//! The admin state: the changes that operators have made and not reverted. This module does no I/O.
 
 use std::collections::BTreeSet;
 
@@ -7,40 +7,40 @@
 
 use super::command::Command;
 
-/// How many servers can be disabled at once: more than the longest endpoint list holds.
+/// Maximum number of disabled servers, which is more than the longest endpoint list contains.
 const MAX_DISABLED_SERVERS: usize = 4096;
 
-/// The administrative state. It holds until it is changed, also across a replacement of the process. Its stored form
-/// is read by earlier and later versions.
+/// The admin state. It stays in effect until it is changed, also across a replacement of the process. Earlier and later
+/// versions read its stored form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct AdminState {
     /// The names of the servers that get no new requests.
     #[serde(rename = "out")]
     pub disabled_servers: BTreeSet<String>,
-    /// Clients are asked to leave.
+    /// The sidecar is drained: clients are asked to connect elsewhere.
     pub drained: bool,
-    /// The identity of the process that last became ready to serve.
+    /// The token of the process that announced last that it serves; `None` if none has.
     #[serde(rename = "serving")]
     pub serving_process: Option<u64>,
 }
 
-/// Why a command does not change the state.
+/// An error because of which a command does not change the state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// No endpoint list has a server with this name.
+    /// The endpoint list contains no server with this name.
     #[error("no server {name:?} is known")]
     UnknownServer {
         /// The name in the command.
         name: String,
     },
-    /// The limit of disabled servers is reached.
-    #[error("{MAX_DISABLED_SERVERS} servers are out already")]
+    /// The maximum number of servers is disabled already.
+    #[error("{MAX_DISABLED_SERVERS} servers are already disabled")]
     TooManyDisabled,
 }
 
 impl AdminState {
-    /// Applies a command; one that is given twice has no further effect. Commands that only ask have none.
+    /// Applies a command. A repeated command has no further effect, and queries have no effect.
     ///
     /// # Errors
     ///
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// A disabled server can be enabled while it is not listed: it may come back under its name.
+    /// A disabled server can be enabled even if it is not listed, because it may return with the same name.
     fn enable(&mut self, name: &str, is_listed: impl Fn(&str) -> bool) -> Result<(), ChangeError> {
         if !self.disabled_servers.remove(name) && !is_listed(name) {
             return Err(ChangeError::UnknownServer { name: name.to_owned() });
--- a/src/sidecar/admin/state/tests.rs
+++ b/src/sidecar/admin/state/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the administrative state.
+//! Tests of the admin state.
 
 use super::*;
 
 #[test]
-fn command_given_twice_is_revoked_once() {
+fn repeated_command_is_reverted_by_one_command() {
     let is_listed = |name: &str| name == "a";
     let disable = Command::DisableServer("a".into());
     let enable = Command::EnableServer("a".into());
--- a/src/sidecar/admin/state_file.rs
+++ b/src/sidecar/admin/state_file.rs
@@ -1,5 +1,5 @@
-//! The administrative state on disk, in a directory that a process shares with its successor. The file is written
-//! completely, under a lock, and renamed into place.
+//! The admin state on disk, in a directory that a process shares with its successor. A new version of the file is
+//! written completely under a lock, then renamed into place.
 
 use std::cell::Cell;
 use std::fs::{self, File, TryLockError};
@@ -14,25 +14,23 @@
 use super::state::{AdminState, ChangeError};
 use crate::sidecar::config::stable_hash;
 
-/// The beginning of the file's name. It is that of earlier versions: a process and its successor of another version
-/// share the file.
+/// Prefix of the file name. It must not change, because a process and a successor of another version share the file.
 const FILE_PREFIX: &str = "plankvale-";
-/// The extensions of the files beside it.
+/// Extensions of the files next to it: the lock, a new version that is being written, and an unreadable version.
 const LOCK_EXTENSION: &str = "lock";
 const NEW_EXTENSION: &str = "new";
 const UNREADABLE_EXTENSION: &str = "unreadable";
-/// The time between two attempts to take the lock.
+/// Interval between two attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How often taking the lock is retried.
+/// Maximum number of retries to take the lock.
 const MAX_LOCK_RETRIES: usize = 100;
-/// The longest file that is read, in bytes: room for every server that can be disabled, with names of a hundred
-/// bytes.
+/// Maximum size of the file, in bytes. It suffices for the maximum number of disabled servers with names of 100 bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Why the file cannot be used, or its content was not changed.
+/// An error because of which the file cannot be used, or its content was not changed.
 #[derive(Debug, Error)]
 pub enum StateFileError {
-    /// The file, or one beside it, cannot be read or written.
+    /// The file, or one of those next to it, cannot be read or written.
     #[error("{path}: {source}", path = path.display())]
     Io {
         /// The file.
@@ -40,14 +38,14 @@
         /// The cause.
         source: io::Error,
     },
-    /// The content cannot be understood. The file was moved aside, so that the next change can be written.
-    #[error("{path}: {source}; put aside: {moved_to}", path = path.display())]
+    /// The content is invalid. The file was moved aside so that the next change can be written.
+    #[error("{path}: {source}; moved aside: {moved_to}", path = path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What is wrong with the content.
+        /// The error in the content.
         source: serde_json::Error,
-        /// Where the file is now, or why it could not be moved.
+        /// The new path of the file, or the error that prevented moving it.
         moved_to: String,
     },
     /// The change was rejected.
@@ -55,42 +53,43 @@
     Rejected(#[from] ChangeError),
 }
 
-/// Identifies one version of the file: its inode, and when it was written.
+/// Identifies a version of the file: its inode and its modification time in seconds and nanoseconds.
 type Version = (u64, i64, i64);
 
-/// The file with the administrative state of one sidecar.
+/// The file with the admin state of one sidecar.
 pub struct StateFile {
     path: PathBuf,
-    seen: Cell<Option<Version>>,
+    /// The version that was read last; `None` if there was no file.
+    last_read: Cell<Option<Version>>,
 }
 
 impl StateFile {
-    /// The file of the sidecar with this name, in this directory.
+    /// The state file of the sidecar called `name` in `directory`.
     pub fn new(directory: &Path, name: &str) -> StateFile {
         let file = format!("{FILE_PREFIX}{:016x}.json", stable_hash(name.as_bytes()));
-        StateFile { path: directory.join(file), seen: Cell::new(None) }
+        StateFile { path: directory.join(file), last_read: Cell::new(None) }
     }
 
-    /// The content, if the file has changed since this was last called.
+    /// Reads the content if the file has changed since the last call.
     ///
     /// # Errors
     ///
-    /// Why the file cannot be read. One that cannot be understood is moved aside.
+    /// When the file cannot be read or its content is invalid. A file with invalid content is moved aside.
     pub fn read_if_changed(&self) -> Result<Option<AdminState>, StateFileError> {
         let version = match fs::metadata(&self.path) {
             Ok(m) => Some((m.ino(), m.mtime(), m.mtime_nsec())),
             Err(e) if e.kind() == ErrorKind::NotFound => None,
             Err(e) => return Err(self.io_error(e)),
         };
-        if self.seen.get() == version {
+        if self.last_read.get() == version {
             return Ok(None);
         }
         let state = match version {
             None => AdminState::default(),
             Some(_) => self.read()?,
         };
-        // A version that could not be read is read again.
-        self.seen.set(version);
+        // Set only after a successful read, so that a version that could not be read is read again.
+        self.last_read.set(version);
         Ok(Some(state))
     }
 
@@ -100,7 +99,7 @@
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(AdminState::default()),
             Err(e) => return Err(self.io_error(e)),
         };
-        // What is too long is not read, and cannot be understood then.
+        // A file that is too long is not read. Empty content is invalid, so the file is moved aside.
         let text = match length {
             0..=MAX_FILE_BYTES => fs::read(&self.path).map_err(|e| self.io_error(e))?,
             _ => Vec::new(),
@@ -121,21 +120,21 @@
         StateFileError::Io { path: self.path.clone(), source }
     }
 
-    /// Changes the content under the lock, and returns it as it is then.
+    /// Changes the content under the lock, and returns the new content.
     ///
-    /// This runs on the thread that serves clients, so it does not wait for another process: a lock that a stopped or
-    /// slow one holds leads to an error.
+    /// This runs on the thread that serves clients, so it does not block while another process holds the lock. If a
+    /// stopped or slow process holds it for too long, an error is returned.
     ///
     /// # Errors
     ///
-    /// The error of `change`, or why the file cannot be written; the file is as it was then.
+    /// The error of `change`, or an error of the file. The file is unchanged then.
     pub async fn update<P: Runtime>(
         &self,
         change: impl Fn(&mut AdminState) -> Result<(), ChangeError>,
     ) -> Result<AdminState, StateFileError> {
         let lock = File::create(self.path.with_extension(LOCK_EXTENSION));
         let lock = lock.map_err(|e| self.io_error(e))?;
-        // Dropping the file releases the lock.
+        // Dropping the lock file releases the lock.
         self.acquire::<P>(&lock).await?;
         let mut state = self.read()?;
         let old = state.clone();
@@ -167,7 +166,7 @@
         file.write_all(&text)?;
         file.sync_all()?;
         fs::rename(&new, &self.path)?;
-        // The change is in force, and outlives the process. Whether it outlives the machine is not known then.
+        // If this fails, the change is in effect and outlives the process, but may be lost in a crash of the machine.
         if let Err(error) = self.sync_directory() {
             tracing::warn!(%error, "failed to sync the directory of the admin state file");
         }
--- a/src/sidecar/admin/state_file/tests.rs
+++ b/src/sidecar/admin/state_file/tests.rs
@@ -51,7 +51,7 @@
     let file = StateFile::new(&directory, "n0");
     fs::write(&file.path, b"{\"out\":").expect("written");
     let error = file.read_if_changed().expect_err("the content is incomplete").to_string();
-    assert!(error.contains("plankvale-") && error.contains("put aside"), "{error}");
+    assert!(error.contains("plankvale-") && error.contains("moved aside"), "{error}");
     block_on(async {
         let updated = file.update::<TokioRuntime>(|state| {
             state.drained = true;
--- a/src/sidecar/admin/statistics.rs
+++ b/src/sidecar/admin/statistics.rs
@@ -1,5 +1,5 @@
-//! Counters and gauges of a sidecar, as operators and their collectors read them. The names on the lines are those of
-//! the operators' pages.
+//! Counters and gauges of a sidecar in the text format for operators and their collectors. The names in the output are
+//! part of the documented interface.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -8,44 +8,44 @@
 
 use crate::sidecar::status::ReloadCounts;
 
-/// Final answers to the requests of one class.
+/// Final responses to the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassCounts {
     /// The name of the class.
     pub name: String,
-    /// Answers by outcome.
+    /// Responses by outcome.
     pub counts: RequestCounts,
 }
 
-/// What a sidecar knows of its tier.
+/// The sidecar's view of its tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierStatistics {
-    /// Membership, sums and leases.
+    /// Membership, aggregates and leases.
     pub snapshot: Snapshot,
-    /// The names of the tenants, in the order of the snapshot.
+    /// Names of the tenants in the order of the snapshot.
     pub tenant_names: Vec<String>,
 }
 
-/// The statistics of a sidecar. Counters begin at the start of the process.
+/// The statistics of a sidecar. Counters start at 0 with the process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Statistics {
-    /// Final answers by class.
+    /// Final responses by class.
     pub classes: Vec<ClassCounts>,
-    /// Attempts written completely to servers.
+    /// Number of attempts that were written completely.
     pub attempts: u64,
-    /// Requests accepted and not answered yet.
+    /// Number of requests in progress.
     pub active_requests: usize,
-    /// Servers in the endpoint list.
+    /// Number of servers in the endpoint list.
     pub listed_servers: usize,
-    /// Those of them that get no requests: ejected as outliers, or disabled by an operator.
+    /// Number of listed servers that get no requests: ejected as outliers, or disabled by an operator.
     pub ejected_servers: usize,
-    /// How many servers are taken from an endpoint list.
+    /// Maximum number of servers taken from an endpoint list.
     pub max_servers: usize,
-    /// Endpoint lists that were too long, or held more servers than that.
+    /// Number of endpoint lists that were too long or had more servers than `max_servers`.
     pub oversized_lists: u64,
-    /// Configuration reloads.
+    /// Number of configuration reloads.
     pub reloads: ReloadCounts,
-    /// What is known of the tier, where this sidecar takes part in it.
+    /// The sidecar's view of its tier; `None` if it does not take part in one.
     pub tier: Option<TierStatistics>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 fn write_tier(f: &mut Formatter<'_>, tier: &TierStatistics) -> fmt::Result {
-    for (name, value) in tier_figures(&tier.snapshot) {
+    for (name, value) in tier_values(&tier.snapshot) {
         let rounded = (value * 1000.0).round() / 1000.0;
         writeln!(f, "sidecar.tier.{name}={rounded}")?;
     }
@@ -83,9 +83,9 @@
     Ok(())
 }
 
-/// The figures that do not belong to one tenant, in their order.
-fn tier_figures(snapshot: &Snapshot) -> [(&'static str, f64); 18] {
-    // Nothing was received yet: -1.
+/// The names and values of the statistics that are not specific to a tenant, in the order of the output.
+fn tier_values(snapshot: &Snapshot) -> [(&'static str, f64); 18] {
+    // -1 if nothing has been received yet.
     let age_s = snapshot.last_received_age.map_or(-1.0, |age| age as f64 / 1e6);
     [
         ("incarnation", f64::from(snapshot.incarnation)),
--- a/src/sidecar/config/endpoints.rs
+++ b/src/sidecar/config/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as discovery sends them.
+//! The endpoint list format of discovery.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use super::stable_hash;
 use crate::api::{Health, ServerId};
 
-/// Text that borrows from a larger one where it can, and is a copy where it had to be unescaped.
+/// A string that borrows from the parsed text, or is a copy if it contained escape sequences.
 #[derive(Clone, Debug, Deserialize)]
 pub struct BorrowedText<'a>(#[serde(borrow)] Cow<'a, str>);
 
@@ -18,16 +18,16 @@
     }
 }
 
-/// A list of servers, or the changes of one. Names are copies, or borrow from the text that was parsed.
+/// A complete endpoint list, or changes to one. Names are copies or borrow from the parsed text, depending on `S`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList<S = String> {
     /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether this is the complete list, not changes alone.
+    /// Whether this is the complete list rather than only changes.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// The entries.
+    /// The servers in the list.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<Endpoint<S>>,
 }
@@ -38,35 +38,35 @@
     }
 }
 
-/// One server of a list.
+/// One server in an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoint<S = String> {
-    /// The name, the same at every sidecar.
+    /// The name, which is the same for every sidecar.
     #[serde(rename = "host")]
     pub name: S,
-    /// Where it listens for this sidecar; one that has left need not say.
+    /// The address at which this sidecar reaches the server; may be `None` for a server that was removed.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// The zone that it is in.
+    /// The server's zone; `None` if discovery does not report it.
     #[serde(rename = "site")]
     pub(super) zone: Option<S>,
-    /// The kind of machine.
+    /// The machine type; `None` if discovery does not report it.
     #[serde(rename = "class")]
     pub(super) kind: Option<S>,
-    /// The cell of its zone.
+    /// The cell within the zone.
     #[serde(rename = "block", default)]
     pub(super) cell: u16,
-    /// Whether it may get requests.
+    /// The state reported by discovery.
     pub(super) health: EndpointHealth,
-    /// Its capacity, relative to other servers.
+    /// Capacity relative to other servers.
     #[serde(rename = "share", default = "default_weight")]
     pub(super) weight: f32,
-    /// When it started, in milliseconds of Unix time; 0 if that is not known.
+    /// Start time in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(rename = "born_ms", default)]
     pub(super) started_unix_ms: u64,
 }
 
-/// What discovery says of a server.
+/// The state of a server as reported by discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum EndpointHealth {
@@ -92,17 +92,17 @@
 }
 
 impl<S: AsRef<str>> Endpoint<S> {
-    /// The balancer's identifier for it.
+    /// The balancer's identifier of this server.
     pub fn id(&self) -> ServerId {
         ServerId(stable_hash(self.name.as_ref().as_bytes()))
     }
 
-    /// Whether it is in the list at all.
+    /// Whether the server is part of the list, so was not removed.
     pub fn is_listed(&self) -> bool {
         !matches!(self.health, EndpointHealth::Removed)
     }
 
-    /// Whether it may get new requests.
+    /// Whether the server may get new requests.
     pub fn is_active(&self) -> bool {
         matches!(self.health, EndpointHealth::Active)
     }
--- a/src/sidecar/config/environment.rs
+++ b/src/sidecar/config/environment.rs
@@ -1,11 +1,11 @@
-//! The `LB_` variables that stand for keys of the file.
+//! Environment variables that set keys of the configuration file.
 
 use std::env::VarError;
 
 use super::error::ConfigError;
 use super::file::ConfigFile;
 
-/// The variable with the path of the file.
+/// The variable with the path of the configuration file.
 const PATH: &str = "LB_CONFIG";
 const NAME: &str = "LB_NAME";
 const LISTEN: &str = "LB_LISTEN";
@@ -13,7 +13,7 @@
 const ADMIN: &str = "LB_ADMIN_ADDR";
 const ROUND_INTERVAL_MS: &str = "LB_TIER_TURN_MS";
 
-/// Values that stand in variables.
+/// Values of the environment variables; `None` if a variable is not set.
 #[derive(Debug, Default)]
 pub struct Environment {
     /// `LB_NAME`.
@@ -28,7 +28,7 @@
     pub round_interval_ms: Option<String>,
 }
 
-/// A variable; an empty one counts as not set.
+/// Reads a variable. An empty one counts as not set.
 fn variable(name: &'static str) -> Result<Option<String>, ConfigError> {
     match std::env::var(name) {
         Ok(value) if !value.is_empty() => Ok(Some(value)),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The path of the configuration.
+/// The path of the configuration file.
 ///
 /// # Errors
 ///
@@ -47,11 +47,11 @@
 }
 
 impl Environment {
-    /// All variables.
+    /// Reads all variables.
     ///
     /// # Errors
     ///
-    /// The variable that cannot be read.
+    /// When a variable cannot be read.
     pub fn read() -> Result<Environment, ConfigError> {
         Ok(Environment {
             name: variable(NAME)?,
@@ -62,19 +62,19 @@
         })
     }
 
-    /// The variables for keys that the file lacks. The variables are as old as the process, so a file that was
-    /// changed since overrides them.
+    /// Reads the variables for keys that the file lacks. The variables were set when the process started, so a file
+    /// that has been changed since takes precedence over them.
     pub fn read_missing(file: &ConfigFile) -> Environment {
-        let unless = |is_in_file: bool, name: &'static str| match is_in_file {
+        let read_unless = |is_in_file: bool, name: &'static str| match is_in_file {
             true => None,
             false => variable(name).ok().flatten(),
         };
         Environment {
-            name: unless(file.name.is_some(), NAME),
-            listen: unless(file.listen.is_some(), LISTEN),
-            discovery: unless(file.discovery.is_some(), DISCOVERY),
-            admin: unless(file.admin_addr.is_some(), ADMIN),
-            round_interval_ms: unless(file.tier.is_some(), ROUND_INTERVAL_MS),
+            name: read_unless(file.name.is_some(), NAME),
+            listen: read_unless(file.listen.is_some(), LISTEN),
+            discovery: read_unless(file.discovery.is_some(), DISCOVERY),
+            admin: read_unless(file.admin_addr.is_some(), ADMIN),
+            round_interval_ms: read_unless(file.tier.is_some(), ROUND_INTERVAL_MS),
         }
     }
 
@@ -82,65 +82,65 @@
     ///
     /// # Errors
     ///
-    /// When it stands nowhere, or file and variable differ.
-    pub fn agree_on_name(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
-        required("name", in_file, NAME, self.name.take())
+    /// When neither the file nor the variable has a value, or their values differ.
+    pub fn resolve_name(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
+        resolve_required("name", in_file, NAME, self.name.take())
     }
 
     /// The address of the listener.
     ///
     /// # Errors
     ///
-    /// When it stands nowhere, or file and variable differ.
-    pub fn agree_on_listen(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
-        required("listen", in_file, LISTEN, self.listen.take())
+    /// When neither the file nor the variable has a value, or their values differ.
+    pub fn resolve_listen(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
+        resolve_required("listen", in_file, LISTEN, self.listen.take())
     }
 
     /// The address of discovery.
     ///
     /// # Errors
     ///
-    /// When it stands nowhere, or file and variable differ.
-    pub fn agree_on_discovery(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
-        required("discovery", in_file, DISCOVERY, self.discovery.take())
+    /// When neither the file nor the variable has a value, or their values differ.
+    pub fn resolve_discovery(&mut self, in_file: Option<String>) -> Result<String, ConfigError> {
+        resolve_required("discovery", in_file, DISCOVERY, self.discovery.take())
     }
 
     /// The address of the admin listener, if there is one.
     ///
     /// # Errors
     ///
-    /// When file and variable differ.
-    pub fn agree_on_admin(
+    /// When the values of the file and of the variable differ.
+    pub fn resolve_admin(
         &mut self,
         in_file: Option<String>,
     ) -> Result<Option<String>, ConfigError> {
-        agreed("admin_addr", in_file, ADMIN, self.admin.take())
+        resolve("admin_addr", in_file, ADMIN, self.admin.take())
     }
 
     /// The interval between gossip rounds in milliseconds, if this sidecar takes part.
     ///
     /// # Errors
     ///
-    /// When file and variable differ.
-    pub fn agree_on_round_interval(
+    /// When the values of the file and of the variable differ.
+    pub fn resolve_round_interval(
         &mut self,
         in_file: Option<String>,
     ) -> Result<Option<String>, ConfigError> {
-        agreed("tier.turn_ms", in_file, ROUND_INTERVAL_MS, self.round_interval_ms.take())
+        resolve("tier.turn_ms", in_file, ROUND_INTERVAL_MS, self.round_interval_ms.take())
     }
 }
 
-fn required(
+fn resolve_required(
     key: &'static str,
     in_file: Option<String>,
     variable: &'static str,
     in_variable: Option<String>,
 ) -> Result<String, ConfigError> {
-    agreed(key, in_file, variable, in_variable)?.ok_or(ConfigError::Missing { key, variable })
+    resolve(key, in_file, variable, in_variable)?.ok_or(ConfigError::Missing { key, variable })
 }
 
-/// A value that may stand in the file, in a variable or, the same, in both.
-fn agreed(
+/// Returns the value of a key that is set in the file, in a variable or, with the same value, in both.
+fn resolve(
     key: &'static str,
     in_file: Option<String>,
     variable: &'static str,
--- a/src/sidecar/config/error.rs
+++ b/src/sidecar/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used. Each message names the key or the variable.
+//! Errors of the configuration. Each message names the key or the variable.
 
 use std::env::VarError;
 use std::io;
@@ -8,11 +8,11 @@
 use super::ROUND_INTERVALS_MS;
 use crate::settings::SettingsError;
 
-/// Why a configuration cannot be used.
+/// An error because of which a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
-    #[error("LB_CONFIG: the path of the configuration expected")]
+    #[error("LB_CONFIG: not set; expected the path of the configuration file")]
     NoPath,
     /// A variable cannot be read.
     #[error("{name}: {source}")]
@@ -22,7 +22,7 @@
         /// The cause.
         source: VarError,
     },
-    /// The file that `LB_CONFIG` names cannot be used.
+    /// The file named by `LB_CONFIG` cannot be used.
     #[error("LB_CONFIG: {0}")]
     InVariable(#[source] Box<ConfigError>),
     /// A file cannot be used.
@@ -48,7 +48,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A key is neither in the file nor in its variable.
-    #[error("{key}: expected here or in {variable}")]
+    #[error("{key}: missing; set it in the file or in {variable}")]
     Missing {
         /// The key in the file.
         key: &'static str,
@@ -56,7 +56,7 @@
         variable: &'static str,
     },
     /// A key and its variable have different values.
-    #[error("{key}: {in_file:?} here, but {in_variable:?} in {variable}")]
+    #[error("{key}: {in_file:?} in the file, but {in_variable:?} in {variable}")]
     Contradiction {
         /// The key in the file.
         key: &'static str,
@@ -67,8 +67,8 @@
         /// Its value in the variable.
         in_variable: String,
     },
-    /// The value is not the address of a socket.
-    #[error("{key}: an address and a port expected, not {value:?}")]
+    /// The value is not a socket address.
+    #[error("{key}: expected an address and a port, got {value:?}")]
     Address {
         /// The key.
         key: &'static str,
@@ -76,32 +76,32 @@
         value: String,
     },
     /// The seed is not hexadecimal.
-    #[error("seed: 16 hexadecimal digits expected, not {value:?}")]
+    #[error("seed: expected 16 hexadecimal digits, got {value:?}")]
     Seed {
         /// The value.
         value: String,
     },
     /// A number is too small.
-    #[error("{key}: {min} or more expected")]
+    #[error("{key}: must be at least {min}")]
     TooSmall {
         /// The key.
         key: &'static str,
-        /// The least value.
+        /// The smallest allowed value.
         min: usize,
     },
     /// A number is out of range.
-    #[error("{key}: {min} to {max} expected")]
+    #[error("{key}: must be between {min} and {max}")]
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// The least value.
+        /// The smallest allowed value.
         min: usize,
-        /// The largest value.
+        /// The largest allowed value.
         max: usize,
     },
     /// The interval between gossip rounds is out of range.
     #[error(
-        "tier.turn_ms: {min} to {max} expected, not {value:?}",
+        "tier.turn_ms: must be between {min} and {max}, got {value:?}",
         min = ROUND_INTERVALS_MS.start(),
         max = ROUND_INTERVALS_MS.end()
     )]
@@ -110,34 +110,34 @@
         value: String,
     },
     /// The list of peers does not have one for each instance.
-    #[error("peers: as many as settings.instances expected")]
+    #[error("peers: expected one entry for each of settings.instances")]
     PeerCount,
     /// The memory is too small for the membership table.
     #[error(
-        "settings.instances: {max} at most expected with tier.turn_ms and limits.memory_mb = {memory_mb}"
+        "settings.instances: must be at most {max} with tier.turn_ms and limits.memory_mb = {memory_mb}"
     )]
     TooManyMembers {
-        /// The most members.
+        /// The largest possible number of members.
         max: usize,
-        /// The memory limit.
+        /// The memory limit in megabytes.
         memory_mb: usize,
     },
     /// The memory is too small for the cached endpoint list.
-    #[error("known.hosts: {max} at most expected with limits.memory_mb = {memory_mb}")]
+    #[error("known.hosts: must have at most {max} entries with limits.memory_mb = {memory_mb}")]
     TooManyEndpoints {
-        /// The most endpoints.
+        /// The largest possible number of endpoints.
         max: usize,
-        /// The memory limit.
+        /// The memory limit in megabytes.
         memory_mb: usize,
     },
     /// An entry of a list has no name.
-    #[error("settings.{list}: names expected")]
+    #[error("settings.{list}: every entry needs a name")]
     MissingName {
         /// The list in the settings.
         list: &'static str,
     },
     /// Two entries of a list have the same name.
-    #[error("settings.{list}[{index}].name: a name of its own expected")]
+    #[error("settings.{list}[{index}].name: duplicate name")]
     DuplicateName {
         /// The list in the settings.
         list: &'static str,
@@ -147,7 +147,7 @@
 }
 
 impl ConfigError {
-    /// Whether a file could not be read, so that another attempt may succeed.
+    /// Whether a file could not be read, so that a retry may succeed.
     pub fn is_read_failure(&self) -> bool {
         match self {
             ConfigError::Read { .. } => true,
--- a/src/sidecar/config/file.rs
+++ b/src/sidecar/config/file.rs
@@ -1,4 +1,4 @@
-//! The form of the configuration file.
+//! The format of the configuration file.
 
 use std::net::SocketAddr;
 
@@ -8,74 +8,74 @@
 use super::endpoints::EndpointList;
 use super::error::ConfigError;
 
-/// The least number of descriptors: beside those for the program itself, there are some for clients and servers.
+/// Minimum number of descriptors: those of the program itself, and some for clients and servers.
 const MIN_SOCKETS: usize = 64;
-/// The least memory: the program itself takes some 6 MB, and what it takes for that many descriptors fits into the
-/// rest.
+/// Minimum memory limit in megabytes: the program itself takes about 6 MB, and the rest suffices for [`MIN_SOCKETS`]
+/// descriptors.
 const MIN_MEMORY_MB: usize = 16;
-/// The largest limit of a body.
+/// Maximum of the body size limit, in megabytes.
 const MAX_BODY_LIMIT_MB: usize = 1 << 10;
-/// The limit of a body unless it is set: clients have been seen to send 32 MB.
+/// Default body size limit, in megabytes. Clients have sent bodies of 32 MB.
 const DEFAULT_BODY_LIMIT_MB: usize = 33;
-/// Keys that a reload applies, or that matter at the start alone.
+/// Keys that a reload applies, or that are used only at startup.
 const RELOADABLE_KEYS: [&str; 5] = ["discovery", "generation", "known", "limits", "seed"];
 /// Keys of the settings that a reload applies.
 const RELOADABLE_SETTINGS: [&str; 2] = ["limits", "tenants"];
 /// Keys of a class that a reload applies.
 const RELOADABLE_CLASS_KEYS: [&str; 4] = ["aim", "credit", "deadline", "lateWorth"];
 
-/// The configuration as the file has it.
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 pub struct ConfigFile {
-    /// The number of this configuration, where whoever writes it counts them.
+    /// The generation of this configuration; 0 if the file does not set it.
     #[serde(default)]
     pub generation: u64,
-    /// The sidecar's name, unless `LB_NAME` has it.
+    /// The sidecar's name; `None` if only `LB_NAME` sets it.
     pub name: Option<String>,
-    /// Where clients connect, unless `LB_LISTEN` has it.
+    /// The address at which clients connect; `None` if only `LB_LISTEN` sets it.
     pub listen: Option<String>,
-    /// Where discovery is, unless `LB_DISCOVERY` has it.
+    /// The address of discovery; `None` if only `LB_DISCOVERY` sets it.
     pub discovery: Option<String>,
-    /// Where operators connect, unless `LB_ADMIN_ADDR` has it.
+    /// The address of the admin listener; `None` if only `LB_ADMIN_ADDR` sets it, or there is none.
     pub admin_addr: Option<String>,
-    /// The seed of random numbers, in hexadecimal digits.
+    /// The seed of the random number generator, in hexadecimal digits.
     pub seed: String,
-    /// Resources that the process may use.
+    /// Resource limits.
     pub limits: LimitsSection,
-    /// Where datagrams of other sidecars arrive.
+    /// The address that receives datagrams of other sidecars; `None` if they are not received.
     pub peer_listen: Option<SocketAddr>,
-    /// The sidecars of the tier, by their numbers.
+    /// The addresses of the sidecars of the tier, by sidecar number.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// What is sent there reaches every sidecar of the tier.
+    /// The address through which a datagram reaches every sidecar of the tier; `None` if there is none.
     #[serde(rename = "peers_all")]
     pub peers_multicast: Option<SocketAddr>,
-    /// Gossip with the other sidecars.
+    /// Gossip with the other sidecars of the tier; `None` if this sidecar does not take part.
     pub tier: Option<TierSection>,
-    /// The endpoint list as this sidecar last had it.
+    /// The endpoint list that this sidecar had last; `None` if it had none.
     #[serde(rename = "known")]
     pub cached_endpoints: Option<EndpointList>,
     /// The balancer's settings.
     pub settings: Value,
 }
 
-/// The section on gossip.
+/// The `tier` section, which configures gossip.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSection {
-    /// The time between two rounds, in milliseconds.
+    /// The time between two gossip rounds, in milliseconds.
     #[serde(rename = "turn_ms")]
     pub round_interval_ms: u64,
 }
 
-/// The section on resources.
+/// The `limits` section, which limits resources.
 #[derive(Deserialize)]
 pub struct LimitsSection {
-    /// Memory that the process may use, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: usize,
-    /// Descriptors that the process may use.
+    /// Maximum number of descriptors of the process.
     pub sockets: usize,
-    /// The longest body of a request or a response, in megabytes.
+    /// Maximum body size of a request or a response, in megabytes.
     #[serde(rename = "longest_body_mb", default = "default_body_limit_mb")]
     pub max_body_mb: usize,
 }
@@ -94,7 +94,7 @@
         Ok(serde_json::from_slice(text)?)
     }
 
-    /// The seed of random numbers.
+    /// Parses the seed of the random number generator.
     ///
     /// # Errors
     ///
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// The first limit that is not.
+    /// When a limit is out of range; the error names the first one.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.sockets < MIN_SOCKETS {
             return Err(ConfigError::TooSmall { key: "limits.sockets", min: MIN_SOCKETS });
@@ -126,7 +126,7 @@
     }
 }
 
-/// The part of a configuration that cannot change while a process runs.
+/// The part of a configuration that only a restart can change.
 ///
 /// # Errors
 ///
--- a/src/sidecar/config/mod.rs
+++ b/src/sidecar/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration that a sidecar is started with: the file that `LB_CONFIG` names, and the other `LB_` variables.
-//! Everything is checked here; an error names the key.
+//! The configuration of a sidecar: the file named by `LB_CONFIG`, and the other `LB_` variables. All of it is validated
+//! here. An error names the key.
 
 mod endpoints;
 mod environment;
@@ -17,75 +17,75 @@
 
 pub use self::endpoints::{BorrowedText, Endpoint, EndpointList};
 pub use self::error::ConfigError;
-pub use self::names::{ClassName, ProtocolNames};
+pub use self::names::{ProtocolNames, RequestClass};
 
 use self::environment::{Environment, config_path};
 use self::file::{ConfigFile, restart_only_part};
 use super::budget;
 use crate::settings::Settings;
 
-/// Intervals between gossip rounds that can be set, in milliseconds.
+/// Allowed intervals between gossip rounds, in milliseconds.
 const ROUND_INTERVALS_MS: RangeInclusive<u64> = 10..=60_000;
-/// Bytes in the megabytes of the limits, as a power of two.
+/// Shift that converts the megabytes of the limits to bytes.
 const MEGABYTE_SHIFT: u32 = 20;
 
-/// The configuration, checked.
+/// A validated configuration.
 pub struct Config {
-    /// The number of this configuration, where whoever writes it counts them; 0 otherwise.
+    /// The generation of this configuration; 0 if the file does not set it.
     pub generation: u64,
     /// This sidecar's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators connect, if they may.
+    /// The address of the admin listener; `None` if there is none.
     pub admin: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Memory that the process may use, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that the process may use.
+    /// Maximum number of descriptors of the process.
     pub max_sockets: usize,
-    /// The longest body of a request or a response, in bytes.
+    /// Maximum body size of a request or a response, in bytes.
     pub max_body_bytes: usize,
-    /// Where datagrams of other sidecars arrive, if they may.
+    /// The address that receives datagrams of other sidecars; `None` if they are not received.
     pub peer_listen: Option<SocketAddr>,
-    /// The sidecars of the tier, by their numbers.
+    /// The addresses of the sidecars of the tier, by sidecar number.
     pub peers: Vec<SocketAddr>,
-    /// What is sent there reaches every sidecar of the tier.
+    /// The address through which a datagram reaches every sidecar of the tier; `None` if there is none.
     pub peers_multicast: Option<SocketAddr>,
-    /// The time between two gossip rounds, where the sidecar takes part.
+    /// The time between two gossip rounds; `None` if this sidecar does not take part in gossip.
     pub gossip_round_interval: Option<Duration>,
-    /// The endpoint list as this sidecar last had it.
+    /// The endpoint list that this sidecar had last; `None` if it had none.
     pub cached_endpoints: Option<EndpointList>,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The names that are used on sockets for the balancer's numbers.
+    /// The names used in protocols for the numbers that the balancer uses.
     pub names: Rc<ProtocolNames>,
-    /// The part that cannot change while a process runs: all but what a reload applies. The seed is for one start,
-    /// and the cached endpoints for its first moment.
+    /// The part that only a restart can change: everything except the keys that a reload applies, and the seed and
+    /// the cached endpoints, which are used only at startup.
     pub restart_only: Value,
 }
 
 impl Config {
-    /// Reads the configuration that the variables name.
+    /// Reads the file named by `LB_CONFIG` and the other variables.
     ///
     /// # Errors
     ///
-    /// Why it cannot be used.
+    /// When the configuration is invalid or cannot be read.
     pub fn from_env() -> Result<Config, ConfigError> {
         let text = read_file(&config_path()?).map_err(in_variable)?;
         let environment = Environment::read()?;
         Config::build(&text, environment).map_err(in_variable)
     }
 
-    /// Reads the file that `LB_CONFIG` names again, at a reload. It is checked as at the start; but the variables are
-    /// as old as the process, so where they differ from the file, the file applies.
+    /// Reads the file named by `LB_CONFIG` again for a reload. It is validated as at startup, except that the file
+    /// takes precedence over variables with other values, because these were set when the process started.
     ///
     /// # Errors
     ///
-    /// Why it cannot be used.
+    /// When the configuration is invalid or cannot be read.
     pub fn reread() -> Result<Config, ConfigError> {
         let reread = |path: &str| {
             let text = read_file(path)?;
@@ -95,20 +95,20 @@
         reread(&config_path()?).map_err(in_variable)
     }
 
-    /// A configuration from its text, without the variables.
+    /// Parses a configuration from the text of a file, ignoring the variables.
     ///
     /// # Errors
     ///
-    /// Why it cannot be used.
+    /// When the configuration is invalid.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         Config::build(text, Environment::default())
     }
 
-    /// Checks a file as a configuration, without the variables.
+    /// Validates a configuration file, ignoring the variables.
     ///
     /// # Errors
     ///
-    /// Why it cannot be used.
+    /// When the configuration is invalid or cannot be read.
     pub fn check_file(path: &str) -> Result<Config, ConfigError> {
         let text = read_file(path)?;
         Config::parse(&text)
@@ -117,10 +117,10 @@
 
     fn build(text: &[u8], mut environment: Environment) -> Result<Config, ConfigError> {
         let mut file = ConfigFile::parse(text)?;
-        let name = environment.agree_on_name(file.name.take())?;
-        let listen = environment.agree_on_listen(file.listen.take())?;
-        let discovery = environment.agree_on_discovery(file.discovery.take())?;
-        let admin = environment.agree_on_admin(file.admin_addr.take())?;
+        let name = environment.resolve_name(file.name.take())?;
+        let listen = environment.resolve_listen(file.listen.take())?;
+        let discovery = environment.resolve_discovery(file.discovery.take())?;
+        let admin = environment.resolve_admin(file.admin_addr.take())?;
         let seed = file.seed()?;
         file.limits.check()?;
         let settings = Settings::from_json(file.settings.to_string().as_bytes())?;
@@ -151,8 +151,8 @@
         })
     }
 
-    /// The tenants' quotas as gossip shares them. Their schema stands for the names of tenants and classes, in the
-    /// order of the settings.
+    /// The tenant quotas for gossip. Their schema is a hash of the names of tenants and classes, in the order of the
+    /// settings.
     pub fn tenant_quotas(&self) -> TenantQuotas {
         let tenants = self.names.tenant_names();
         let classes = self.settings.classes.iter().map(|class| class.name.as_str());
@@ -165,7 +165,7 @@
     }
 }
 
-/// The same number for the same bytes in every build and at every sidecar (FNV-1a).
+/// FNV-1a hash, which is the same in every build and at every sidecar.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     bytes
         .iter()
@@ -184,19 +184,19 @@
     value.parse().map_err(|_| ConfigError::Address { key, value })
 }
 
-/// The time between two gossip rounds, if the sidecar takes part.
+/// The time between two gossip rounds; `None` if this sidecar does not take part in gossip.
 fn round_interval(
     file: &ConfigFile,
     environment: &mut Environment,
 ) -> Result<Option<Duration>, ConfigError> {
     let in_file = file.tier.as_ref().map(|tier| tier.round_interval_ms.to_string());
-    let Some(value) = environment.agree_on_round_interval(in_file)? else { return Ok(None) };
+    let Some(value) = environment.resolve_round_interval(in_file)? else { return Ok(None) };
     let ms = value.parse().ok().filter(|ms| ROUND_INTERVALS_MS.contains(ms));
     let ms = ms.ok_or(ConfigError::RoundInterval { value })?;
     Ok(Some(Duration::from_millis(ms)))
 }
 
-/// Checks that the membership table and the cached endpoint list fit into the memory.
+/// Checks that the membership table and the cached endpoint list fit into the memory limit.
 fn check_memory(
     file: &ConfigFile,
     settings: &Settings,
--- a/src/sidecar/config/names.rs
+++ b/src/sidecar/config/names.rs
@@ -1,4 +1,4 @@
-//! Names that are used on sockets, in place of the balancer's numbers.
+//! Names used in protocols in place of the numbers that the balancer uses.
 
 use std::collections::HashMap;
 
@@ -9,12 +9,13 @@
 use crate::api::{LoadReport, ServerEntry};
 use crate::settings::{RetrySafety, Settings};
 
-/// Load reports have requests, shares and milliseconds; none of these comes near this figure.
+/// Largest plausible value in a load report. Reports contain request counts, fractions and milliseconds, all of which
+/// are far smaller.
 const MAX_REPORTED: f32 = 1e6;
-/// The zone and the kind of a server whose names the settings lack.
+/// The zone and the machine type of a server whose names the settings lack.
 const UNKNOWN_ZONE: u8 = u8::MAX;
 const UNKNOWN_KIND: u16 = u16::MAX;
-/// Names of a report's columns in the settings, and those that servers may use instead.
+/// Column names of load reports in the settings, and the names that servers may use instead.
 const COLUMN_ALIASES: [(&str, &str); 6] = [
     ("rif", "inflight"),
     ("q", "queue"),
@@ -24,21 +25,21 @@
     ("fail_rate", "eps"),
 ];
 
-/// A request class as it is met on sockets.
+/// The properties of a request class that its protocol needs.
 #[derive(Clone, Copy, Debug)]
-pub struct ClassName {
-    /// Its position in the settings.
+pub struct RequestClass {
+    /// The index of the class in the settings.
     pub index: usize,
-    /// Whether its requests may be repeated, which decides the method.
-    pub repeat: RetrySafety,
+    /// Whether requests may be retried, which determines their HTTP method.
+    pub retry_safety: RetrySafety,
 }
 
-/// Names of the settings' classes, tenants, zones, kinds and report columns.
+/// Names of the classes, tenants, zones, machine types and report columns in the settings.
 #[derive(Default)]
 pub struct ProtocolNames {
-    /// Classes by the first segment of the path.
-    pub classes: HashMap<String, ClassName>,
-    /// Tenants by `X-Account`.
+    /// Classes by the first path segment of requests.
+    pub classes: HashMap<String, RequestClass>,
+    /// Indices of tenants by the value of `X-Account`.
     pub tenants: HashMap<String, usize>,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -46,11 +47,11 @@
 }
 
 impl ProtocolNames {
-    /// The names in the settings. `raw` has those that the settings do not keep.
+    /// Collects the names in the settings. `raw` contains those that `settings` does not keep.
     ///
     /// # Errors
     ///
-    /// When a name is missing, or there twice.
+    /// When a name is missing or a duplicate.
     pub fn new(settings: &Settings, raw: &Value) -> Result<ProtocolNames, ConfigError> {
         let mut names = ProtocolNames {
             zones: settings.zones.clone(),
@@ -59,8 +60,8 @@
             ..ProtocolNames::default()
         };
         for (index, class) in settings.classes.iter().enumerate() {
-            let class_name = ClassName { index, repeat: class.retry_safety };
-            if names.classes.insert(class.name.clone(), class_name).is_some() {
+            let request_class = RequestClass { index, retry_safety: class.retry_safety };
+            if names.classes.insert(class.name.clone(), request_class).is_some() {
                 return Err(ConfigError::DuplicateName { list: "classes", index });
             }
         }
@@ -80,7 +81,7 @@
         tenants.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// An endpoint as the balancer takes it. A zone or kind that the settings lack is different from all others.
+    /// Converts an endpoint for the balancer. A zone or machine type that the settings lack differs from all others.
     pub fn server_entry<S: AsRef<str>>(&self, endpoint: &Endpoint<S>) -> ServerEntry {
         let position = |names: &[String], name: &Option<S>| {
             let name = name.as_ref().map_or("", AsRef::as_ref);
@@ -99,29 +100,29 @@
         }
     }
 
-    /// Parses a load report (`inflight=7,queue=2,util=0.61`) into the order of the settings' columns. One that lacks
-    /// a column or has an impossible figure is empty.
+    /// Parses a load report (`inflight=7,queue=2,util=0.61`) into the column order of the settings. The result is
+    /// empty if a column is missing or has an implausible value.
     ///
-    /// Servers name the fields as the protocol does or as the settings do (`rif=7,q=2`). Parsed by one set of names
-    /// alone, every report would be lost silently, and the balancer would know no queue.
+    /// Servers use the field names of the protocol or those of the settings (`rif=7,q=2`). If only one set of names
+    /// were accepted, reports with the other would be dropped silently, and the balancer would not know the queues.
     pub fn load_report(&self, text: &str) -> LoadReport {
         let values: Option<_> = self.columns.iter().map(|column| field(text, column)).collect();
         values.map(LoadReport).unwrap_or_default()
     }
 }
 
-/// A field of a load report, by the name of its column or the alias of that.
+/// A field of a load report, found by its column name or the alias of that.
 fn field(text: &str, column: &str) -> Option<f32> {
     let alias = COLUMN_ALIASES.iter().find(|(name, _)| *name == column);
     let alias = alias.map_or(column, |(_, alias)| alias);
     let mut fields = text.split(',').filter_map(|field| field.split_once('='));
     let is_named = |name: &str| name == column || name == alias;
     let (_, value) = fields.find(|(name, _)| is_named(name.trim()))?;
-    // A figure that no server can have would spoil the averages that it enters.
+    // An implausible value would distort the averages that include it.
     value.trim().parse::<f32>().ok().filter(|value| (0.0..=MAX_REPORTED).contains(value))
 }
 
-/// The names in a list of the settings, which may be absent.
+/// The names in a list of the settings. The list may be absent.
 fn name_list(
     settings: &Value,
     list: &'static str,
--- a/src/sidecar/events.rs
+++ b/src/sidecar/events.rs
@@ -1,6 +1,6 @@
-//! Counters of rare events: rules that did not hold, attempts that were not sent after all, requests
-//! that got no server's answer, retries, rejections by servers that prove nothing, and connections of clients that
-//! were closed, each by its reason. Operators read them with `show-events`.
+//! Counters of rare events by reason: violated protocol rules, attempts that were not sent, requests without a server
+//! response, retries, rejections that do not prove that a request was not executed, and closed client connections. The
+//! admin command `show-events` reports them.
 
 use std::cell::Cell;
 use std::fmt::{self, Display, Formatter};
@@ -10,25 +10,25 @@
 use super::sync_state::{DesyncSign, SyncState};
 use crate::api::{EndReason, Outcome};
 
-/// Why a connection of a client ends.
+/// The reason for the end of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, or the last response told that it would be closed.
+    /// The client closed the connection, or the last response announced that it would be closed.
     Finished,
-    /// Room was needed for other connections.
+    /// The connection was evicted in favor of others.
     Evicted,
-    /// The process shuts down, or operators drain it.
+    /// The process is shutting down, or operators drain it.
     Draining,
     /// The client was too slow, or silent for too long.
     TimedOut,
-    /// The rest of a request's body did not arrive.
+    /// The rest of a request body was not received.
     BodyFailed,
-    /// It broke, or what arrived could not be used.
+    /// The connection failed, or its input was invalid.
     Broken,
 }
 
 impl CloseReason {
-    /// All of them, in the order in which they are reported.
+    /// All reasons, in the order of the reports.
     pub const ALL: [CloseReason; 6] = [
         CloseReason::Finished,
         CloseReason::Evicted,
@@ -38,7 +38,7 @@
         CloseReason::Broken,
     ];
 
-    /// The name in logs and statistics.
+    /// The name in log lines and statistics.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Finished => "finished",
@@ -57,7 +57,7 @@
     }
 }
 
-/// How often each event occurred since the start of the process.
+/// The number of occurrences of each event since the start of the process.
 #[derive(Debug, Default)]
 pub struct EventCounters {
     violations: [Cell<u64>; Violation::ALL.len()],
@@ -74,12 +74,12 @@
     withdrawn_closes: Cell<u64>,
 }
 
-/// One counter as it is reported.
+/// One counter in a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventCount {
-    /// The name of the event, with the group that it belongs to.
+    /// The name of the event, preceded by its group.
     pub name: String,
-    /// How often it occurred.
+    /// The number of occurrences.
     pub count: u64,
 }
 
@@ -90,11 +90,11 @@
 }
 
 impl EventCounters {
-    /// Counts and logs a rule that did not hold. `subject` identifies the request or connection.
+    /// Counts and logs the violation of a protocol rule. `subject` identifies the request or connection.
     ///
     /// # Panics
     ///
-    /// In builds with debug assertions, such as those that tests run.
+    /// In builds with debug assertions, such as the test builds.
     pub fn record_violation(&self, violation: Violation, subject: &dyn Display) {
         increment(&self.violations[violation as usize]);
         tracing::error!(%violation, %subject, "protocol rule violated");
@@ -103,27 +103,28 @@
         }
     }
 
-    /// Counts an attempt that was chosen and then not sent.
+    /// Counts an attempt that was scheduled but not sent.
     pub fn record_refusal(&self, refusal: SendRefusal) {
         increment(&self.refusals[refusal as usize]);
     }
 
-    /// Counts a request that ended without a server's answer, by the balancer's decision.
+    /// Counts a request that ended without a server response, by the balancer's decision.
     pub fn record_end(&self, reason: EndReason) {
         increment(&self.ends[reason as usize]);
     }
 
-    /// Counts an attempt that follows another, by how that one ended.
-    pub fn record_retry(&self, earlier: Outcome) {
-        increment(&self.retries[earlier as usize]);
+    /// Counts a retry by the outcome of the previous attempt.
+    pub fn record_retry(&self, previous: Outcome) {
+        increment(&self.retries[previous as usize]);
     }
 
-    /// Counts an attempt that may have been executed, though its server seems to have said that it was not.
+    /// Counts an attempt that may have been executed although its server seems to have reported otherwise.
     pub fn record_doubt(&self, doubt: Doubt) {
         increment(&self.doubts[doubt as usize]);
     }
 
-    /// Counts a check of whether a response answers its connection's last request, and what spoke against that.
+    /// Counts a check of whether a response belongs to the last request on its connection, and the sign of a desync,
+    /// if there was one.
     pub fn record_sync_check(&self, state: SyncState, sign: Option<DesyncSign>) {
         increment(&self.sync_checks[state as usize]);
         if let Some(sign) = sign {
@@ -131,27 +132,27 @@
         }
     }
 
-    /// Counts a server whose connections are not used again for a while.
+    /// Counts a server whose connections are temporarily not reused.
     pub fn record_reuse_suspension(&self) {
         increment(&self.reuse_suspensions);
     }
 
-    /// Counts a connection of a client that ended.
+    /// Counts a client connection that ended.
     pub fn record_close(&self, reason: CloseReason) {
         increment(&self.closes[reason as usize]);
     }
 
-    /// Counts a connection that ended with input of its client unanswered.
+    /// Counts a client connection that ended with unanswered input.
     pub fn record_unanswered(&self, reason: CloseReason) {
         increment(&self.unanswered[reason as usize]);
     }
 
-    /// Counts a connection on which input came when it had been ended for its client.
+    /// Counts a client connection on which input arrived after it had been shut down.
     pub fn record_late_input(&self) {
         increment(&self.late_input);
     }
 
-    /// Counts a connection that was to be closed while idle, and was in use by then.
+    /// Counts a requested close that was not carried out because the client connection was in use again.
     pub fn record_withdrawn_close(&self) {
         increment(&self.withdrawn_closes);
     }
--- a/src/sidecar/events/tests.rs
+++ b/src/sidecar/events/tests.rs
@@ -1,4 +1,4 @@
-//! Counting events and reporting them.
+//! Tests of counting and reporting events.
 
 use super::*;
 
--- a/src/sidecar/ingress/accept.rs
+++ b/src/sidecar/ingress/accept.rs
@@ -13,39 +13,40 @@
 use crate::sidecar::events::CloseReason;
 use crate::sidecar::system_error::is_shortage;
 
-/// The pause before accepting is tried again when no descriptor is left.
+/// Pause before the next accept when no descriptor is available.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// So many failures in a row that are no shortage are followed by the same pause: a listener that only
-/// fails must not take all of the processor.
+/// Number of consecutive accept errors, other than shortages, after which accepting pauses for
+/// [`ACCEPT_RETRY_DELAY`]: a listener that always fails must not keep the event loop busy.
 const ACCEPT_FAILURES_BEFORE_PAUSE: u32 = 8;
-/// How many connections are closed at most with each one that is accepted.
+/// Maximum number of idle connections closed for each accepted connection.
 const MAX_EVICTIONS_PER_ACCEPT: usize = 2;
 
-/// What a look at the listener's queue has found.
+/// Result of a non-blocking accept during shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Queue {
-    /// A connection, which is served now.
+enum AcceptOutcome {
+    /// A connection was accepted and is being served.
     Accepted,
-    /// Nothing.
-    Empty,
-    /// There is no descriptor or place for what may wait there, or the first connection is broken.
-    Unknown,
+    /// The listener's queue is empty.
+    QueueEmpty,
+    /// The connection budget or the descriptors are exhausted, or the first queued connection is broken. More
+    /// connections may be queued.
+    Failed,
 }
 
-/// Whether clients are accepted.
+/// State of the listener.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Accepting {
     #[default]
     Active,
-    /// What waits in the queue is accepted, and nothing after that.
+    /// The connections still in the queue are accepted, then the listener is closed.
     Stopping,
     /// The listener is closed.
     Ended,
 }
 
 impl<P: Runtime> Ingress<P> {
-    /// Accepts clients until [`Self::stop_accepting`] is called, and then what waits in the queue. The
-    /// listener is closed right behind the last look at it.
+    /// Accepts clients until [`Self::stop_accepting`] is called, then accepts the connections that are
+    /// still queued, and closes the listener as soon as its queue is found empty.
     pub async fn accept(self: Rc<Ingress<P>>, listener: P::Listener) {
         tokio::select! {
             biased;
@@ -54,12 +55,12 @@
         }
         loop {
             match self.accept_waiting(&listener) {
-                Queue::Accepted => {}
-                Queue::Empty => break,
-                Queue::Unknown => {
-                    self.fall_behind(P::now());
+                AcceptOutcome::Accepted => {}
+                AcceptOutcome::QueueEmpty => break,
+                AcceptOutcome::Failed => {
+                    self.note_backlog(P::now());
                     self.evict_one();
-                    self.wait_for_place().await;
+                    self.wait_for_connection_end().await;
                 }
             }
         }
@@ -67,7 +68,7 @@
         self.accepting.set(Accepting::Ended);
     }
 
-    /// Has the listener closed, after what waits there was accepted: clients that connect later are refused.
+    /// Has the listener closed once the queued connections are accepted. Clients that connect later are refused.
     pub fn stop_accepting(&self) {
         if self.accepting.get() == Accepting::Active {
             self.accepting.set(Accepting::Stopping);
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Completes when no further client is to be accepted.
+    /// Completes once [`Self::stop_accepting`] has been called.
     pub async fn accepting_stopped(&self) {
         while self.accepting.get() == Accepting::Active {
             self.accepting_changed.notified().await;
@@ -87,25 +88,26 @@
         self.accepting.get() == Accepting::Ended
     }
 
-    /// Accepts clients; never ends.
+    /// Accepts clients; never returns.
     ///
-    /// What waits in the listener's queue while the budget is used up is in progress already for
-    /// its client, and its time runs. Nothing tells since when it waits; it came no earlier than
-    /// accepting last fell behind, and that much is taken off its first request's time. Clients
-    /// that connect in a crowd and send their request later get less time than they ask for.
+    /// While the connection budget is exhausted, new connections wait in the listener's queue, and the
+    /// time of a request that was already sent on them runs. The system does not report when a
+    /// connection was queued. It was not before the backlog began, so the age of the backlog is deducted
+    /// from the time of the connection's first request. As a drawback, clients that connect during a
+    /// backlog and send their request later get less time than they asked for.
     async fn accept_clients(self: &Rc<Ingress<P>>, listener: &P::Listener) {
         let mut failures_in_a_row = 0_u32;
         loop {
             let requested = P::now();
             let permit = self.acquire_permit().await;
             if P::now() > requested {
-                self.fall_behind(requested);
+                self.note_backlog(requested);
             }
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
                 () = std::future::ready(()) => {
-                    self.behind_since.set(None);
+                    self.backlog_since.set(None);
                     listener.accept().await
                 }
             };
@@ -116,16 +118,16 @@
                     self.evict_longest_idle();
                     self.start_connection(socket, permit);
                 }
-                // Whatever fails must not end accepting.
+                // No error may end the accept loop.
                 Err(error) if is_shortage(&error) => {
                     tracing::warn!(%error, "failed to accept a client connection");
                     self.last_accept_failure.set(Some(P::now()));
                     self.evict_one();
-                    self.fall_behind(P::now());
-                    // Discovery and servers get what becomes free meanwhile.
+                    self.note_backlog(P::now());
+                    // The pause leaves descriptors that become free to discovery and to connections to servers.
                     P::sleep(ACCEPT_RETRY_DELAY).await;
                 }
-                // Only that connection is lost, and the next may wait behind it.
+                // The error concerns only this connection; others may be queued behind it.
                 Err(error) => {
                     tracing::debug!(%error, "a client connection ended before it was accepted");
                     failures_in_a_row += 1;
@@ -137,31 +139,32 @@
         }
     }
 
-    /// Accepts a connection that waits in the listener's queue now.
-    fn accept_waiting(self: &Rc<Ingress<P>>, listener: &P::Listener) -> Queue {
+    /// Accepts a connection if one is queued.
+    fn accept_waiting(self: &Rc<Ingress<P>>, listener: &P::Listener) -> AcceptOutcome {
         let Ok(permit) = self.socket_budget.clients.clone().try_acquire_owned() else {
-            return Queue::Unknown;
+            return AcceptOutcome::Failed;
         };
         match listener.try_accept() {
             Ok(socket) => {
                 self.start_connection(socket, permit);
-                Queue::Accepted
+                AcceptOutcome::Accepted
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Queue::Empty,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => AcceptOutcome::QueueEmpty,
             Err(error) => {
                 tracing::debug!(%error, "failed to accept a client connection before the exit");
-                Queue::Unknown
+                AcceptOutcome::Failed
             }
         }
     }
 
-    /// Notes that from `since` on connections may wait in the listener's queue, unless they did before.
-    fn fall_behind(&self, since: Instant) {
-        self.behind_since.set(self.behind_since.get().or(Some(since)));
+    /// Records that connections may wait in the listener's queue since `since`. An earlier start of the backlog
+    /// stays.
+    fn note_backlog(&self, since: Instant) {
+        self.backlog_since.set(self.backlog_since.get().or(Some(since)));
     }
 
     fn start_connection(self: &Rc<Ingress<P>>, socket: P::Tcp, permit: SocketPermit) {
-        let accept_delay = self.behind_since.get().map_or(Duration::ZERO, P::elapsed_since);
+        let accept_delay = self.backlog_since.get().map_or(Duration::ZERO, P::elapsed_since);
         let number = self.accept_count.get() + 1;
         self.accept_count.set(number);
         let socket = Rc::new(socket);
@@ -171,7 +174,8 @@
         P::spawn(self.clone().serve_connection(connection, socket, permit));
     }
 
-    /// A place for one more connection. One without a request in progress makes room if needed.
+    /// Takes a permit for one more connection. If none is left, a connection without a request in progress is
+    /// evicted.
     async fn acquire_permit(&self) -> SocketPermit {
         loop {
             let clients = self.socket_budget.clients.clone();
@@ -186,19 +190,19 @@
         }
     }
 
-    /// Waits until a client's connection has ended. What else frees a descriptor is not told: it is tried
-    /// again after a pause.
-    async fn wait_for_place(&self) {
-        let _ = timeout::<P, _>(ACCEPT_RETRY_DELAY, self.place_freed.notified()).await;
+    /// Waits until a client connection has ended, but at most for [`ACCEPT_RETRY_DELAY`]: other events that free
+    /// a descriptor are not notified.
+    async fn wait_for_connection_end(&self) {
+        let _ = timeout::<P, _>(ACCEPT_RETRY_DELAY, self.connection_ended.notified()).await;
     }
 
-    /// With each client that connects when there are many, closes those that have been idle for
-    /// the longest time.
+    /// Closes the connections that have been idle longest if there are more than the eviction threshold.
+    /// Called for each accepted connection.
     ///
-    /// Clients may hold only so many connections. Where they send one request and keep the
-    /// connection, idle ones use up the clients' limit long before ours, and their next request
-    /// never gets here. This also covers crowds that connect for one request and stay. Clients with
-    /// many connections that are used in slow rotation have to reconnect each time.
+    /// Clients have connection limits of their own. Where a client sends one request on a connection and
+    /// keeps it, its idle connections reach that limit long before this sidecar's, and its next request is
+    /// never sent. The same holds for bursts of clients that connect for one request and stay connected.
+    /// As a drawback, clients that use many connections in slow rotation have to reconnect each time.
     fn evict_longest_idle(&self) {
         let connections = self.connections.borrow();
         let surplus = connections.len().saturating_sub(self.socket_budget.eviction_threshold());
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Closes the connection that can best be spared, if one can.
+    /// Closes the connection with the lowest eviction rank, if any can be evicted.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let mut ranked: Vec<_> =
--- a/src/sidecar/ingress/clocks.rs
+++ b/src/sidecar/ingress/clocks.rs
@@ -1,78 +1,77 @@
-//! When input of a client was received, and how long its response has waited for a server.
+//! Estimates of when client input was received, and of the time that a response has waited for its server.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
 use runtime::Runtime;
 
-/// How many bytes of a body can wait unread in the system's receive buffer.
+/// Maximum number of unread bytes of a body in the socket's receive buffer.
 const MAX_BUFFERED_BYTES: u64 = 256 << 10;
 
-/// Estimates when input was received that waited in the system's buffer before it was read.
+/// Estimates when input was received that waited in the socket's receive buffer before it was read.
 pub(super) struct ReceiveClock {
-    /// Everything received so far has been read.
-    pub drained: Cell<bool>,
-    /// When input was last read that cannot have waited in the buffer.
-    pub fresh_at: Cell<Instant>,
+    /// The last read found the receive buffer empty.
+    pub buffer_empty: Cell<bool>,
+    /// The time of the last read whose input cannot have waited in the receive buffer.
+    pub last_unbuffered_read: Cell<Instant>,
     /// Bytes read since then.
-    read_since: Cell<u64>,
+    bytes_since: Cell<u64>,
 }
 
 impl ReceiveClock {
-    /// Nothing was received before `now`.
+    /// Creates the clock of a connection that has received nothing before `now`.
     pub fn new(now: Instant) -> ReceiveClock {
         ReceiveClock {
-            drained: Cell::new(true),
-            fresh_at: Cell::new(now),
-            read_since: Cell::new(0),
+            buffer_empty: Cell::new(true),
+            last_unbuffered_read: Cell::new(now),
+            bytes_since: Cell::new(0),
         }
     }
 
     /// Records that `bytes` were read.
     ///
-    /// The rest of a long body waits in the buffer until an attempt wants it, and its time runs
-    /// from when it was received. Where the client was still sending in the meantime, its time is
-    /// estimated shorter than it is.
+    /// The rest of a long body waits in the receive buffer until an attempt reads it, but its time runs from
+    /// when it was received. If the client was still sending meanwhile, the remaining time is underestimated.
     pub fn record<P: Runtime>(&self, bytes: usize) {
-        let read_since = self.read_since.get() + bytes as u64;
-        if self.drained.replace(false) || read_since > MAX_BUFFERED_BYTES {
-            self.fresh_at.set(P::now());
-            self.read_since.set(0);
+        let bytes_since = self.bytes_since.get() + bytes as u64;
+        if self.buffer_empty.replace(false) || bytes_since > MAX_BUFFERED_BYTES {
+            self.last_unbuffered_read.set(P::now());
+            self.bytes_since.set(0);
         } else {
-            self.read_since.set(read_since);
+            self.bytes_since.set(bytes_since);
         }
     }
 }
 
-/// How long a response has waited for its server. The client is not charged for that time.
+/// The time that a response has waited for its server. It does not count towards the client's read timeout.
 #[derive(Default)]
 pub(super) struct UpstreamWait {
-    /// How long the waits took that are over.
-    pub finished: Cell<Duration>,
-    /// Since when it waits again.
+    /// The total duration of the completed waits.
+    pub completed: Cell<Duration>,
+    /// The start of the current wait; `None` if the response does not wait.
     since: Cell<Option<Instant>>,
 }
 
 impl UpstreamWait {
-    /// No response has waited so far.
+    /// Resets the waits for a new response.
     pub fn reset(&self) {
-        self.finished.set(Duration::ZERO);
+        self.completed.set(Duration::ZERO);
         self.since.set(None);
     }
 
-    /// Whether a response waits now.
+    /// Whether the response is waiting.
     pub fn is_waiting(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// A wait begins, unless one is under way.
+    /// Starts a wait, unless one is under way.
     pub fn start<P: Runtime>(&self) {
         self.since.set(Some(self.since.get().unwrap_or_else(P::now)));
     }
 
-    /// The wait is over.
+    /// Ends the current wait, if any.
     pub fn finish<P: Runtime>(&self) {
         let waited = self.since.take().map_or(Duration::ZERO, P::elapsed_since);
-        self.finished.set(self.finished.get() + waited);
+        self.completed.set(self.completed.get() + waited);
     }
 }
--- a/src/sidecar/ingress/connection.rs
+++ b/src/sidecar/ingress/connection.rs
@@ -1,7 +1,7 @@
-//! The state of one client connection, as it is observed between hyper and its socket.
+//! The state of one client connection, observed between hyper and the socket.
 //!
-//! - `closing`: whether it may be closed, and what a close leaves unanswered;
-//! - `timeouts`: how long a client may take for each phase.
+//! - `closing`: whether the connection may be closed, and which input a close leaves unanswered;
+//! - `timeouts`: the timeout of each phase.
 
 mod closing;
 mod timeouts;
@@ -21,53 +21,55 @@
 use crate::sidecar::framing::{Framing, FramingError, MessageKind};
 use crate::sidecar::upstream::RequestClient;
 
-/// How much of a correlation id is kept for the log.
+/// Maximum length of a correlation id in log lines.
 const MAX_LOGGED_ID_CHARS: usize = 64;
 
-/// The client has disconnected, or nothing more can be said to it.
+/// The client has disconnected, or no response can be sent to it any more.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the client connection is no longer usable")]
 pub(super) struct ClientDisconnected;
 
-/// One client connection, as it is observed between hyper and its socket.
+/// The state of one client connection, observed between hyper and the socket.
 ///
-/// Every phase that depends on the client has a timeout of its own, which nothing extends but
-/// further reading of a response or, for a body, sending at a minimum pace. This guards against
-/// clients that hold a connection and never finish: silent ones, slow senders and those that do not
-/// read. It does harm to honest clients that are slower than that.
+/// Every phase that depends on the client has a timeout of its own. Only reading more of a response, or sending a
+/// body at a minimum pace, extends it. This guards against clients that hold a connection and never finish: silent
+/// clients, slow senders, and clients that do not read. As a drawback, well-behaved clients that are slower than that
+/// are disconnected, too.
 pub(super) struct ClientConnection<P: Runtime> {
-    /// Its place in the order in which connections were accepted.
+    /// Sequence number in the order in which connections were accepted.
     number: u64,
-    /// The correlation id of its last request, or the beginning of it; empty before the first.
+    /// The correlation id of the last request, truncated; empty before the first request.
     last_request: RefCell<String>,
-    /// The connection's task alone keeps the socket open.
+    /// The socket. Only the connection's task keeps it open.
     socket: Weak<P::Tcp>,
     phase: Cell<Phase>,
-    /// When the phase began or, while responding, when the client last took some of the response.
+    /// The time at which the phase began or, while responding, at which the client last accepted part of the
+    /// response.
     last_progress: Cell<Instant>,
     framing: RefCell<Framing>,
     framing_error: Cell<Option<FramingError>>,
-    /// hyper has the complete last response: the next flush is its end.
+    /// hyper has taken the whole response, so the next flush ends it.
     response_complete: Cell<bool>,
     response_started: Cell<Instant>,
-    /// Bytes of this request that were read or, while responding, of its response that were written.
+    /// Bytes read of the current request or, while responding, bytes written of its response.
     transferred: Cell<u64>,
-    /// The earliest time at which the last byte of the request can have been received.
+    /// The earliest time at which the last byte of the request can have been received; `None` until the request is
+    /// complete.
     body_received_at: Rc<Cell<Option<Instant>>>,
     receive_clock: ReceiveClock,
     upstream_wait: UpstreamWait,
-    /// No request was completed here so far.
+    /// No request on this connection has got a response yet.
     unused: Cell<bool>,
-    /// The connection was ended for its client, and no input had come by then.
+    /// The sending direction has been shut down, and no input had arrived before that.
     ended_without_input: Cell<bool>,
-    /// How long the connection may have waited to be accepted.
+    /// The longest time that the connection may have waited to be accepted.
     accept_delay: Duration,
     close_requested: Notify,
     close_reason: Cell<Option<CloseReason>>,
 }
 
 impl<P: Runtime> ClientConnection<P> {
-    /// A connection without a request, whose request bodies may have up to `max_body` bytes.
+    /// Creates the state of a connection without a request. Request bodies may have up to `max_body` bytes.
     pub fn new(
         number: u64,
         socket: &Rc<P::Tcp>,
@@ -96,65 +98,66 @@
         }
     }
 
-    /// Its place in the order in which connections were accepted.
+    /// The sequence number in the order in which connections were accepted.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Notes the correlation id of a request, for the log.
-    pub fn begin_request_id(&self, correlation_id: &str) {
+    /// Stores the correlation id of a request for log lines.
+    pub fn set_request_id(&self, correlation_id: &str) {
         let mut last = self.last_request.borrow_mut();
         last.clear();
         last.extend(correlation_id.chars().take(MAX_LOGGED_ID_CHARS));
     }
 
-    /// The correlation id of the last request, or the beginning of it; empty before the first.
+    /// The correlation id of the last request, truncated; empty before the first request.
     pub fn last_request(&self) -> String {
         self.last_request.borrow().clone()
     }
 
-    /// For how long the connection has been in its phase or, while responding, made no progress.
+    /// The time since the phase began or, while responding, since the last progress.
     pub fn time_in_phase(&self) -> Duration {
         P::elapsed_since(self.last_progress.get())
     }
 
-    /// What the connection is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Starts a phase, and its timeout.
+    /// Starts a phase and its timeout.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.last_progress.set(P::now());
     }
 
-    /// Why what the client sent cannot be used, if so.
+    /// The framing error in the client's input, if there was one.
     pub fn framing_error(&self) -> Option<FramingError> {
         self.framing_error.get()
     }
 
-    /// Whether the request was seen up to its end.
+    /// Whether the request has been read up to its end.
     pub fn has_complete_request(&self) -> bool {
         self.framing.borrow().is_complete()
     }
 
-    /// Shared with the upload of the request's body.
+    /// The earliest time at which the last byte of the request can have been received, shared with the upload of
+    /// its body.
     pub fn body_received_at(&self) -> Rc<Cell<Option<Instant>>> {
         self.body_received_at.clone()
     }
 
-    /// How long the present request may have waited before the connection was accepted.
+    /// The longest time that the current request may have waited before the connection was accepted.
     pub fn request_accept_delay(&self) -> Duration {
         if self.unused.get() { self.accept_delay } else { Duration::ZERO }
     }
 
-    /// A request's head was read.
+    /// Called when the head of a request has been read.
     pub fn start_request(&self) {
         self.response_complete.set(false);
     }
 
-    /// The response is available.
+    /// Called when the response is available.
     pub fn start_response(&self) {
         self.enter(Phase::Responding);
         self.response_started.set(P::now());
@@ -163,32 +166,32 @@
         self.unused.set(false);
     }
 
-    /// More of the response is available.
+    /// Called when more of the response is available.
     pub fn response_continues(&self) {
         self.last_progress.set(P::now());
         self.upstream_wait.finish::<P>();
     }
 
-    /// The response waits for its server.
+    /// Called when the response has to wait for its server.
     pub fn response_waits(&self) {
         self.upstream_wait.start::<P>();
     }
 
-    /// hyper has taken the complete response.
+    /// Called when hyper has taken the whole response.
     pub fn finish_response(&self) {
         self.response_complete.set(true);
     }
 
-    /// Has the connection's task close it, if that may be done when the task runs next.
+    /// Asks the connection's task to close the connection, if that is still allowed when the task next runs.
     pub fn request_close(&self, reason: CloseReason) {
-        // A connection that is of no use any more is not kept because somebody wanted its room, too.
+        // A connection with a failed body has to be closed in any case, so an eviction does not replace that reason.
         if self.close_reason.get() != Some(CloseReason::BodyFailed) {
             self.close_reason.set(Some(reason));
         }
         self.close_requested.notify_one();
     }
 
-    /// Completes when the connection is to be closed. [`Self::try_close`] tells whether it may be.
+    /// Completes when a close is requested. [`Self::try_close`] decides whether it is allowed.
     pub async fn close_requested(&self) -> CloseReason {
         loop {
             self.close_requested.notified().await;
@@ -198,18 +201,18 @@
         }
     }
 
-    /// Whether the client sends nothing more, whatever waits to be read.
-    pub fn is_gone(&self) -> bool {
+    /// Whether the client has closed its sending direction or the connection, even if input is still unread.
+    pub fn is_disconnected(&self) -> bool {
         self.socket.upgrade().is_none_or(|socket| socket.peer_closed())
     }
 
-    /// Leaves the idle phase with the first bytes of a request, and counts those of its head and
-    /// of a short body.
+    /// Leaves the idle phase at the first bytes of a request, and counts the bytes of its head and of a short
+    /// body.
     fn count_request_bytes(&self, bytes: usize) {
         if bytes > 0 && self.phase.get() == Phase::Idle {
             self.phase.set(Phase::ReceivingRequest);
             self.transferred.set(0);
-            // The time of a connection's first request runs from when it was accepted.
+            // The timeout of the first request runs from the accept of the connection.
             if !self.unused.get() {
                 self.last_progress.set(P::now());
             }
@@ -222,7 +225,7 @@
 
 impl<P: Runtime> RequestClient for ClientConnection<P> {
     fn has_left(&self) -> bool {
-        self.is_gone()
+        self.is_disconnected()
     }
 }
 
@@ -236,13 +239,13 @@
         })?;
         self.receive_clock.record::<P>(bytes.len());
         if self.body_received_at.get().is_none() && framing.is_complete() {
-            self.body_received_at.set(Some(self.receive_clock.fresh_at.get()));
+            self.body_received_at.set(Some(self.receive_clock.last_unbuffered_read.get()));
         }
         Ok(())
     }
 
     fn on_read_pending(&self) {
-        self.receive_clock.drained.set(true);
+        self.receive_clock.buffer_empty.set(true);
     }
 
     fn on_write(&self, bytes: &[u8]) {
--- a/src/sidecar/ingress/connection/closing.rs
+++ b/src/sidecar/ingress/connection/closing.rs
@@ -1,4 +1,4 @@
-//! Whether a connection may be closed, which is spared longest, and what a close leaves unanswered.
+//! Whether a connection may be closed, its rank for eviction, and the input that a close leaves unanswered.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,30 +9,29 @@
 use crate::sidecar::events::CloseReason;
 use crate::sidecar::ingress::phase::{EvictionClass, EvictionRank, Phase};
 
-/// With many connections, one that has been idle for this long after its last response may be
-/// closed: an active client sends its next request sooner, or opens another connection, which costs
-/// the servers nothing.
+/// Minimum idle time after a response before a connection may be evicted. An active client sends its next request
+/// sooner, or opens another connection, which does not affect the servers.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
-/// The same for a connection without any request so far: its first request would be lost with it.
+/// The same for a connection without any request so far, which is longer because its first request would be lost.
 const MIN_UNUSED_BEFORE_EVICTION: Duration = Duration::from_secs(1);
-/// The same while no place is left: those that connect wait in the listener's queue meanwhile.
+/// The same while the connection budget is exhausted and new connections wait in the listener's queue.
 const MIN_UNUSED_IN_SHORTAGE: Duration = Duration::from_millis(20);
 
-/// Input of a client that has no response.
+/// Client input that has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::sidecar::ingress) enum Unanswered {
-    /// It waits in the socket, and came before the connection was ended for its client.
+    /// Unread input in the socket that arrived before the connection was shut down.
     Unread,
-    /// It waits in the socket, and came after the connection was ended for its client, which could see that.
+    /// Unread input in the socket that arrived after the connection was shut down, which the client could see.
     AfterEnd,
-    /// Part of a request was read.
+    /// A request of which a part was read.
     PartlyRead,
-    /// A request was read.
+    /// A request that was read completely.
     Read,
 }
 
 impl Unanswered {
-    /// The name in logs.
+    /// The name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Unanswered::Unread => "unread",
@@ -44,7 +43,8 @@
 }
 
 impl<P: Runtime> ClientConnection<P> {
-    /// What a client that has not left would miss if its connection ended now, if anything.
+    /// The input that would stay unanswered if the connection ended now; `None` if there is none or the client has
+    /// disconnected.
     pub fn unanswered(&self) -> Option<Unanswered> {
         let request = match self.phase.get() {
             Phase::Lingering | Phase::Responding => None,
@@ -54,19 +54,19 @@
             Phase::Idle if self.ended_without_input.get() => Some(Unanswered::AfterEnd),
             Phase::Idle => Some(Unanswered::Unread),
         };
-        request.filter(|_| !self.is_gone())
+        request.filter(|_| !self.is_disconnected())
     }
 
-    /// Decides whether the connection may be closed now, and ends it for its client if it is idle. The one
-    /// place that decides so.
+    /// Decides whether the connection may be closed now, and shuts it down if it is idle. Every close is decided
+    /// here.
     ///
-    /// Whoever wants it closed has decided that earlier, or while its own task did not run. Until now a
-    /// request may have arrived. An idle connection is ended for its client right behind the look at its
-    /// socket: what arrives later was sent to a connection that is closed.
+    /// A close is requested earlier, or while the connection's task is not running, so a request may have arrived
+    /// since. An idle connection is shut down right after its socket is checked for input: whatever arrives later was
+    /// sent on a closed connection.
     pub fn try_close(&self, reason: CloseReason) -> bool {
         match self.phase.get() {
             Phase::Lingering => true,
-            Phase::Idle => self.end_if_no_input(),
+            Phase::Idle => self.shut_down_if_no_input(),
             Phase::ReceivingRequest => {
                 reason == CloseReason::TimedOut || self.has_no_unread_input()
             }
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Ends the connection for its client, unless input waits. True: it has ended.
-    fn end_if_no_input(&self) -> bool {
+    /// Shuts the connection down, unless input is waiting. Returns whether it was shut down.
+    fn shut_down_if_no_input(&self) -> bool {
         let Some(socket) = self.socket.upgrade() else { return true };
         let ends = socket.is_idle() || socket.peer_closed();
         if ends {
@@ -85,8 +85,8 @@
         ends
     }
 
-    /// The place in the order of eviction; none while a request is in progress or, on a new connection,
-    /// about to be sent.
+    /// The rank in the order of eviction; `None` while a request is in progress, or while the first request on a
+    /// new connection may be on its way.
     pub fn eviction_rank(&self) -> Option<EvictionRank> {
         let is_new = self.unused.get() && self.time_in_phase() < MIN_UNUSED_IN_SHORTAGE;
         let class = match self.phase.get() {
@@ -99,32 +99,32 @@
         Some(EvictionRank { class, since: self.last_progress.get() })
     }
 
-    /// Whether an idle client may be sending a request: it has connected just now, or input waits
-    /// to be read.
+    /// Whether the client of an idle connection may be sending a request: it has connected just now, or its input is
+    /// still unread.
     ///
-    /// A connection that is closed under a request loses it, and the client has to retry. One that
-    /// never had a response does not even know that it may.
+    /// Closing a connection while a request is on its way loses the request, and the client has to retry. A client
+    /// that has not yet had a response on the connection cannot know whether a retry is safe.
     pub fn may_be_sending(&self) -> bool {
         let idle = P::elapsed_since(self.last_progress.get());
         let just_connected = self.unused.get() && idle < MIN_IDLE_BEFORE_EVICTION;
         self.phase.get() == Phase::Idle && (just_connected || !self.has_no_unread_input())
     }
 
-    /// Whether all that the client has sent was read, or is discarded.
+    /// Whether all input of the client has been read or is being discarded.
     ///
-    /// Of a connection that was accepted just now nothing is read yet, though a complete request
-    /// may be there, which counts as taken on. In a crowd of clients that all send on, no connection
-    /// can be evicted until one runs into its timeout.
+    /// Nothing has been read yet from a connection that was accepted just now, although a complete request may be
+    /// there, which counts as admitted. If many clients keep sending at the same time, no connection can be evicted
+    /// until one of them times out.
     pub fn has_no_unread_input(&self) -> bool {
         let unread = |socket: Rc<P::Tcp>| !socket.is_idle() && !socket.peer_closed();
         self.phase.get() == Phase::Lingering || !self.socket.upgrade().is_some_and(unread)
     }
 
-    /// How long the connection has been idle, if that is long enough for it to be evicted.
+    /// The idle time of the connection, if it is long enough for eviction.
     pub fn evictable_idle_time(&self) -> Option<Duration> {
-        let least =
+        let min_idle_time =
             if self.unused.get() { MIN_UNUSED_BEFORE_EVICTION } else { MIN_IDLE_BEFORE_EVICTION };
         let idle = P::elapsed_since(self.last_progress.get());
-        (self.phase.get() == Phase::Idle && idle >= least).then_some(idle)
+        (self.phase.get() == Phase::Idle && idle >= min_idle_time).then_some(idle)
     }
 }
--- a/src/sidecar/ingress/connection/timeouts.rs
+++ b/src/sidecar/ingress/connection/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long a client may take for each phase of its connection.
+//! The timeouts of the phases of a client connection.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -10,47 +10,47 @@
 use crate::sidecar::events::CloseReason;
 use crate::sidecar::ingress::phase::Phase;
 
-/// How long a client may make no progress: without a request, within a request, or while it has a
-/// response to read. A connection without a request may be closed after 2 s at the earliest, and a
-/// client that is silent or never finishes a request has to be disconnected within 3 s.
+/// Maximum time without progress of the client: without a request, within a request, or while it has a response to
+/// read. A connection without a request must stay open for at least 2 s, and a client that is silent or never finishes
+/// a request has to be disconnected within 3 s.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a client that keeps reading may take for a response, beside the time that its length
-/// allows.
+/// Maximum time for a client that keeps reading to read a response, in addition to the time allowed for its length.
 const MAX_RESPONSE_READ_TIME: Duration = Duration::from_secs(10);
-/// How often the timeout of a connection is evaluated while its request is in progress. The
-/// balancer limits that time.
+/// Interval at which the timeout of a connection is evaluated while its request is in progress. The balancer limits
+/// the duration of the request itself.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a connection is looked at while input of its client waits unread.
+/// Interval at which a connection is checked while input is unread.
 const INPUT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl<P: Runtime> ClientConnection<P> {
-    /// Completes when the client has used up the time of the present phase, and the connection may be closed.
+    /// Completes when the current phase has timed out and the connection may be closed.
     ///
-    /// Input may have arrived in time that hyper has not read: it reads when the event loop has told of it.
+    /// Input may have arrived in time and not yet been read, since hyper reads only after the event loop has reported
+    /// it. Therefore pending events are delivered before the connection is closed.
     pub async fn timed_out(&self) {
         loop {
-            self.phase_over().await;
+            self.phase_deadline_passed().await;
             P::deliver_events().await;
-            if self.is_phase_over() && self.try_close(CloseReason::TimedOut) {
+            if self.is_past_phase_deadline() && self.try_close(CloseReason::TimedOut) {
                 return;
             }
             P::sleep(INPUT_POLL_INTERVAL).await;
         }
     }
 
-    /// Completes at the deadline of the present phase.
-    async fn phase_over(&self) {
-        while !self.is_phase_over() {
+    /// Completes at the deadline of the current phase.
+    async fn phase_deadline_passed(&self) {
+        while !self.is_past_phase_deadline() {
             let deadline = self.phase_deadline().unwrap_or_else(|| P::now() + BUSY_POLL_INTERVAL);
             P::sleep_until(deadline).await;
         }
     }
 
-    fn is_phase_over(&self) -> bool {
+    fn is_past_phase_deadline(&self) -> bool {
         self.phase_deadline().is_some_and(|deadline| deadline <= P::now())
     }
 
-    /// When the present phase times out; none while somebody other than the client is waited for.
+    /// The time at which the current phase times out; `None` while the connection does not wait for the client.
     fn phase_deadline(&self) -> Option<Instant> {
         let stalled_at = self.last_progress.get() + STALL_TIMEOUT;
         match self.phase.get() {
@@ -59,7 +59,7 @@
             Phase::Responding => {
                 let read_time = MAX_RESPONSE_READ_TIME
                     + client_transfer_time(self.transferred.get())
-                    + self.upstream_wait.finished.get();
+                    + self.upstream_wait.completed.get();
                 Some(stalled_at.min(self.response_started.get() + read_time))
             }
             Phase::ReceivingRequest => {
@@ -69,11 +69,11 @@
         }
     }
 
-    /// The result of `work`, unless the client disconnects first.
+    /// Runs `work` to completion, unless the client disconnects first.
     ///
-    /// While nobody reads the rest of a body, the end of the connection waits behind it, and an
-    /// attempt would begin for a client that has left. Clients that end their sending side right
-    /// behind a long body and still want the response get none, as they do behind a short one.
+    /// While the rest of a body is not being read, the end of the stream behind it is not read either, and an attempt
+    /// would start for a client that has disconnected. As a drawback, clients that close their sending direction right
+    /// after a long body and still want the response get none, as is the case after a short body.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
         let disconnected = async {
             loop {
                 P::sleep(INPUT_POLL_INTERVAL).await;
-                if !self.receive_clock.drained.get() && self.is_gone() {
+                if !self.receive_clock.buffer_empty.get() && self.is_disconnected() {
                     return;
                 }
             }
--- a/src/sidecar/ingress/mod.rs
+++ b/src/sidecar/ingress/mod.rs
@@ -1,15 +1,15 @@
-//! The side of the sidecar that clients connect to.
+//! The client-facing side of the sidecar: an HTTP/1.1 server.
 //!
-//! A request is admitted once it is complete (a long body: once its first bytes are here), and gets
-//! exactly one response. Requests of one connection are served one after another.
+//! A request is admitted once it is complete, or, with a long body, once the first bytes of the body have been
+//! received. It gets exactly one response. Requests on one connection are served one after another.
 //!
-//! - `accept`: accepting connections within their budget, and evicting idle ones;
-//! - `connection`: one connection as it is observed, its timeouts and when it may be closed;
-//! - `phase`: what a connection is doing, and the order of eviction;
-//! - `clocks`: when input arrived, and how long responses waited for servers;
-//! - `service`: a connection's task, from the first request to its close;
-//! - `request`: validation of requests, their bodies, and forwarding them;
-//! - `response`: responses and their bodies.
+//! - `accept`: accepts connections within the connection budget and evicts idle ones;
+//! - `connection`: the state of one connection, its timeouts, and when it may be closed;
+//! - `phase`: the phases of a connection and the order of eviction;
+//! - `clocks`: when input was received, and how long responses waited for servers;
+//! - `service`: the task of a connection, from its first request to its close;
+//! - `request`: validates requests, reads their bodies and forwards them;
+//! - `response`: builds responses and streams their bodies.
 
 mod accept;
 mod clocks;
@@ -39,22 +39,22 @@
 use super::request_ids::RequestIds;
 use super::status::{Status, VERSION};
 
-/// How long it takes clients, or whoever directs them, to see that this instance is drained and to
+/// Time that clients, or the load balancer in front of them, need to notice that this instance is drained and to
 /// connect elsewhere.
 pub const DRAIN_PROPAGATION_DELAY: Duration = Duration::from_millis(400);
-/// For how long after a failed accept descriptors are reported as exhausted.
+/// Time after a failed accept during which descriptors are reported as exhausted.
 const DESCRIPTOR_SHORTAGE_TIME: Duration = Duration::from_secs(2);
 
-/// Which connections are closed when idle ones are.
+/// The connections that [`Ingress::close_idle`] closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseScope {
-    /// Those without any part of a request.
+    /// Connections on which no part of a request has been received.
     Idle,
-    /// Also those on which an incomplete request has been received.
+    /// These, and connections on which an incomplete request has been received.
     IdleAndReceiving,
 }
 
-/// The client-facing side of the sidecar: its connections, and whether it admits more.
+/// The client connections, and the state that decides whether more are accepted.
 pub struct Ingress<P: Runtime> {
     driver: Rc<Driver<P>>,
     name: String,
@@ -63,20 +63,21 @@
     socket_budget: Rc<SocketBudget>,
     body_budget: BodyBudget,
     request_ids: RequestIds<P>,
-    /// By their numbers, so in the order in which they were accepted.
+    /// Open connections by number, which is the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection<P>>>>,
     accept_count: Cell<u64>,
     accepting: Cell<Accepting>,
     accepting_changed: Notify,
-    /// Since when connections may wait in the listener's queue for a descriptor or a place, if they do.
-    behind_since: Cell<Option<Instant>>,
-    /// A connection has ended, and with it its descriptor and its place.
-    place_freed: Notify,
+    /// Start of the time in which connections may have waited in the listener's queue for a descriptor or a
+    /// permit; `None` if the queue was empty when last checked.
+    backlog_since: Cell<Option<Instant>>,
+    /// Notified when a connection has ended and returned its descriptor and its permit.
+    connection_ended: Notify,
     last_accepted: Cell<Instant>,
     last_accept_failure: Cell<Option<Instant>>,
-    /// In a graceful shutdown: until when requests have to be answered.
+    /// The time by which requests have to be answered in a graceful shutdown; `None` before it.
     shutdown_deadline: Cell<Option<Instant>>,
-    /// Since when operators have this instance drained, if they do.
+    /// When operators drained this instance; `None` while it is not drained.
     drained_since: Cell<Option<Instant>>,
     drained_changed: Notify,
     discovery_attempted: Cell<bool>,
@@ -84,7 +85,7 @@
 }
 
 impl<P: Runtime> Ingress<P> {
-    /// An ingress without connections.
+    /// Creates an ingress without connections.
     pub fn new(
         driver: Rc<Driver<P>>,
         name: String,
@@ -105,8 +106,8 @@
             accept_count: Cell::new(0),
             accepting: Cell::default(),
             accepting_changed: Notify::new(),
-            behind_since: Cell::new(None),
-            place_freed: Notify::new(),
+            backlog_since: Cell::new(None),
+            connection_ended: Notify::new(),
             last_accepted: Cell::new(P::now()),
             last_accept_failure: Cell::new(None),
             shutdown_deadline: Cell::new(None),
@@ -117,21 +118,21 @@
         })
     }
 
-    /// Records that discovery has responded, or failed to: the endpoint list is as recent as it can
-    /// be.
+    /// Records that the first call of discovery has completed or failed, so that the endpoint list is as recent
+    /// as it can be.
     pub fn discovery_attempted(&self) {
         self.discovery_attempted.set(true);
         self.status.changed.notify_one();
     }
 
-    /// Starts a graceful shutdown: each response is the last on its connection, and has to be
-    /// available by `deadline`.
+    /// Starts a graceful shutdown: from now on each response closes its connection, and has to be available by
+    /// `deadline`.
     pub fn begin_shutdown(&self, deadline: Instant) {
         self.shutdown_deadline.set(Some(deadline));
         self.status.changed.notify_one();
     }
 
-    /// Drains this instance for operators, or ends that.
+    /// Starts or ends draining by operators.
     pub fn set_drained(&self, drained: bool) {
         if drained != self.drained_since.get().is_some() {
             self.drained_since.set(drained.then(P::now));
@@ -140,28 +141,27 @@
         }
     }
 
-    /// For how long operators have had this instance drained, if they have.
+    /// The time since operators drained this instance; `None` while it is not drained.
     pub fn drained_for(&self) -> Option<Duration> {
         self.drained_since.get().map(P::elapsed_since)
     }
 
-    /// Completes when this instance is drained, or no longer is. For one caller at a time.
+    /// Completes when operators start or end draining. Supports one caller at a time.
     pub async fn drained_changed(&self) {
         self.drained_changed.notified().await;
     }
 
-    /// Whether requests can be served: discovery was attempted, and servers are known.
+    /// Whether requests can be served: discovery has been attempted, and endpoints are known.
     pub fn can_serve(&self) -> bool {
         self.discovery_attempted.get() && self.driver.has_endpoints()
     }
 
-    /// Whether clients are welcome: requests can be served, and operators do not drain this
-    /// instance.
+    /// Whether clients should connect: requests can be served, and operators have not drained this instance.
     pub fn is_ready(&self) -> bool {
         self.can_serve() && self.drained_since.get().is_none()
     }
 
-    /// The state of the sidecar, as it is reported.
+    /// The state of the sidecar as reported to its supervisor and on `/health/version`.
     pub fn state(&self) -> InstanceStatus {
         let shortage = |at| P::elapsed_since(at) < DESCRIPTOR_SHORTAGE_TIME;
         InstanceStatus {
@@ -179,17 +179,17 @@
         }
     }
 
-    /// When the last connection was accepted.
+    /// The time at which the last connection was accepted.
     pub fn last_accepted(&self) -> Instant {
         self.last_accepted.get()
     }
 
-    /// How many connections clients have.
+    /// The number of open client connections.
     pub fn connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// How many requests are in progress.
+    /// The number of requests in progress.
     pub fn requests_in_progress(&self) -> usize {
         self.connections.borrow().values().filter(|c| c.phase().is_busy()).count()
     }
@@ -199,7 +199,7 @@
         self.driver.fail_open_requests();
     }
 
-    /// Closes the connections on which no request is in progress or about to be received.
+    /// Closes the connections on which no request is in progress or likely to be under way.
     pub fn close_idle(&self, scope: CloseScope) {
         for connection in self.connections.borrow().values() {
             let closes = match connection.phase() {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Closes the connections that have been idle long enough to be evicted.
+    /// Closes the connections that have been idle long enough for eviction.
     pub fn close_evictable(&self) {
         let connections = self.connections.borrow();
         for connection in connections.values().filter(|c| c.evictable_idle_time().is_some()) {
--- a/src/sidecar/ingress/phase.rs
+++ b/src/sidecar/ingress/phase.rs
@@ -1,40 +1,40 @@
-//! What client connections are doing, and which of them can best be spared.
+//! The phases of client connections, and the order in which connections are evicted.
 
 use std::time::Instant;
 
-/// What a client connection is doing.
+/// The phase of a client connection. Log lines contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No byte of a request has been received.
     Idle,
     /// Part of a request has been received.
     ReceivingRequest,
-    /// The rest of a long body is streamed to a server; its pace is enforced where it is read.
+    /// The rest of a long body is being streamed to a server. Its minimum pace is enforced where it is read.
     StreamingRequest,
-    /// The request is complete and its response is awaited.
+    /// The request is complete, and no response is available yet.
     AwaitingResponse,
-    /// The response is available; some of it may not have been written.
+    /// A response is available and not yet written completely.
     Responding,
-    /// The last response is written; further input is read and discarded.
+    /// The last response has been written. Further input is read and discarded.
     Lingering,
 }
 
 impl Phase {
-    /// Whether a request has been taken on and its response is not yet completely written.
+    /// Whether a request has been admitted and its response is not yet written completely.
     pub fn is_busy(self) -> bool {
         matches!(self, Phase::StreamingRequest | Phase::AwaitingResponse | Phase::Responding)
     }
 }
 
-/// Which connection is closed first when room is needed: the smallest is.
+/// The eviction order of a connection: the one with the smallest rank is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     pub class: EvictionClass,
-    /// Since when it has been so.
+    /// The time at which the connection last made progress.
     pub since: Instant,
 }
 
-/// What connections that can be closed for room are doing, the one closed first at the front.
+/// The classes of connections that can be evicted, in the order in which they are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionClass {
     Lingering,
--- a/src/sidecar/ingress/request.rs
+++ b/src/sidecar/ingress/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: validation, the body, and handing them to the driver.
+//! Client requests: validation, reading the body, and forwarding to the driver.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -28,42 +28,42 @@
 use crate::sidecar::upload::Upload;
 use crate::sidecar::upstream::UpstreamRequest;
 
-/// Headers of which a request may have one at most: a server might go by another one than this
-/// sidecar does.
+/// Headers that a request may contain only once: of several, a server might use another one than this sidecar.
 const SINGLE_HEADERS: [&str; 4] =
     ["x-correlation-id", "idempotency-key", "x-time-left-ms", "x-account"];
-/// The cookie that names what a request is about.
+/// The cookie with the affinity key of a request.
 const KEY_COOKIE: &str = "k";
 
-/// Why a request gets no reply from the driver.
+/// Errors because of which a request gets no reply from the driver.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    /// It cannot be used, and the client is told so with this status.
+    /// The request is invalid or cannot be served. The client gets a response with this status.
     #[error("the request is rejected with status {0}")]
     Rejected(StatusCode),
-    /// Nobody waits for the response.
+    /// The client has disconnected.
     #[error(transparent)]
     Disconnected(#[from] ClientDisconnected),
 }
 
-/// What a valid request asks for.
+/// The parsed head of a valid request.
 struct ParsedRequest<'a> {
     info: RequestInfo,
-    /// What identifies it to servers.
+    /// The id by which servers identify the request.
     correlation_id: &'a str,
     retry_safety: RetrySafety,
 }
 
-/// A request's body, or as much of it as is read before the request is forwarded.
+/// The body of a request as far as it is read before the request is forwarded.
 struct RequestBody {
+    /// The whole body, or its first bytes if it is streamed.
     first: Bytes,
-    /// Where it is streamed: all of it.
+    /// The upload of the whole body; `None` if the body is not streamed.
     upload: Option<Rc<Upload>>,
     reservation: Reservation,
 }
 
 impl<P: Runtime> Ingress<P> {
-    /// The response to a health check of this sidecar, if the request is one.
+    /// The response to a health check of this sidecar; `None` if the request is no health check.
     pub(super) fn health_response(
         &self,
         request: &Request<Incoming>,
@@ -88,7 +88,7 @@
         response
     }
 
-    /// The driver's reply to one request.
+    /// Forwards a request and returns the driver's reply.
     ///
     /// # Errors
     ///
@@ -100,26 +100,29 @@
     ) -> Result<RequestOutcome, RequestError> {
         let (head, body) = request.into_parts();
         let ParsedRequest { mut info, correlation_id, retry_safety } = self.parse(&head)?;
-        connection.begin_request_id(correlation_id);
+        connection.set_request_id(correlation_id);
         info.time_left = self.remaining_time(connection, info.time_left);
         if head.method == Method::GET && !body.is_end_stream() {
             return Err(RequestError::Rejected(StatusCode::BAD_REQUEST));
         }
         let RequestBody { first, upload, reservation } =
             self.receive_body(connection, body, &mut info).await?;
-        // What waited to be accepted or for memory may be of a client that has left meanwhile, and
-        // an attempt would begin for nobody. See `ClientConnection::unless_disconnected` for whom
-        // this harms.
-        if connection.is_gone() {
+        // The client may have disconnected while the request waited to be accepted or for memory. An attempt would be
+        // wasted then. `ClientConnection::unless_disconnected` describes the drawback.
+        if connection.is_disconnected() {
             return Err(ClientDisconnected.into());
         }
-        // Servers identify requests by their ids. A second request under the id of a first one that
-        // may still be in progress would be taken for a retry of it.
-        let Some(_open_id) = self.request_ids.open(correlation_id) else {
+        // Servers identify requests by their ids, so a second request with the id of one that may still be in progress
+        // would be taken for a retry of it.
+        let Some(_id_guard) = self.request_ids.acquire(correlation_id) else {
             return Err(RequestError::Rejected(StatusCode::CONFLICT));
         };
-        let streams = upload.is_some();
-        connection.enter(if streams { Phase::StreamingRequest } else { Phase::AwaitingResponse });
+        let is_streamed = upload.is_some();
+        connection.enter(if is_streamed {
+            Phase::StreamingRequest
+        } else {
+            Phase::AwaitingResponse
+        });
         let message = UpstreamRequest {
             retry_safety,
             method: head.method.clone(),
@@ -147,8 +150,8 @@
         Ok(reply)
     }
 
-    /// What is left of a client's time: what it spent waiting to be accepted is over, and the
-    /// process may end before.
+    /// The remaining time of a request: `left` minus the time that it may have waited to be accepted, limited by the
+    /// deadline of a graceful shutdown.
     fn remaining_time(&self, connection: &ClientConnection<P>, left: Duration) -> Duration {
         let left = left.saturating_sub(connection.request_accept_delay());
         match self.shutdown_deadline.get() {
@@ -157,16 +160,16 @@
         }
     }
 
-    /// Reads a short body completely, and of a long one what is buffered; the rest is streamed.
+    /// Reads a short body completely, or fills the buffer from a long one, whose rest is streamed.
     ///
-    /// Memory is reserved before anything is read: reserved only for bytes that are here, it would
-    /// be overdrawn by all who send at the same time. All of the body may have arrived meanwhile, so
-    /// the time of that wait is taken off the request's.
+    /// Memory is reserved before anything is read. If it were reserved as bytes arrive, clients that send at the same
+    /// time could together exceed the budget. The whole body may have arrived during the wait for memory, so the wait
+    /// is deducted from the request's time.
     ///
     /// # Errors
     ///
-    /// When the client has disconnected, or its time is up before there is memory: nothing was sent
-    /// then, and the client may send it again.
+    /// When the client has disconnected, or the request's time ends before memory is available. Nothing was sent to a
+    /// server then, so the client may retry.
     async fn receive_body(
         &self,
         connection: &Rc<ClientConnection<P>>,
@@ -195,7 +198,7 @@
         Ok(RequestBody { first, upload, reservation })
     }
 
-    /// Reserves memory for a body. What the wait takes is over for the request.
+    /// Reserves memory for a body, and deducts the wait from the request's time.
     ///
     /// # Errors
     ///
@@ -210,14 +213,14 @@
         let time_left = self.driver.time_budget(info.class, info.time_left);
         let reserving = timeout::<P, _>(time_left, self.body_budget.reserve(bytes));
         let Ok(reservation) = connection.unless_disconnected(reserving).await? else {
-            tracing::warn!(bytes, "no memory for the body of a request within its time");
+            tracing::warn!(bytes, "no memory for a request body within the time of the request");
             return Err(RequestError::Rejected(StatusCode::SERVICE_UNAVAILABLE));
         };
         info.time_left = info.time_left.saturating_sub(P::elapsed_since(requested));
         Ok(reservation)
     }
 
-    /// Validates a request's head, and takes from it what the driver has to know.
+    /// Validates the head of a request and extracts the information for the driver.
     fn parse<'a>(&self, head: &'a http::request::Parts) -> Result<ParsedRequest<'a>, RequestError> {
         const BAD_REQUEST: RequestError = RequestError::Rejected(StatusCode::BAD_REQUEST);
         let text = |name| header_text(&head.headers, name);
@@ -226,13 +229,13 @@
         let class = names.classes.get(name);
         let class = class.ok_or(RequestError::Rejected(StatusCode::NOT_FOUND))?;
         let has_key = text("idempotency-key")?.is_some();
-        match (class.repeat, &head.method) {
+        match (class.retry_safety, &head.method) {
             (RetrySafety::Idempotent, &Method::GET)
             | (RetrySafety::IdempotencyKey | RetrySafety::NonIdempotent, &Method::POST) => {}
             _ => return Err(RequestError::Rejected(StatusCode::METHOD_NOT_ALLOWED)),
         }
-        if class.repeat != RetrySafety::Idempotent
-            && has_key != (class.repeat == RetrySafety::IdempotencyKey)
+        if class.retry_safety != RetrySafety::Idempotent
+            && has_key != (class.retry_safety == RetrySafety::IdempotencyKey)
         {
             return Err(BAD_REQUEST);
         }
@@ -251,24 +254,24 @@
         let info = RequestInfo {
             class: class.index,
             tenant,
-            affinity_key: request_key(&head.headers).unwrap_or(0),
+            affinity_key: affinity_key(&head.headers).unwrap_or(0),
             time_left: Duration::from_millis(left_ms.into()),
             work_hint: text("x-weight-hint")?.and_then(|value| value.parse::<Micros>().ok()),
             client_retry: text("x-repeat")? == Some("1"),
         };
-        Ok(ParsedRequest { info, correlation_id, retry_safety: class.repeat })
+        Ok(ParsedRequest { info, correlation_id, retry_safety: class.retry_safety })
     }
 }
 
-/// Waits for the reply, and for the rest of a streamed body.
+/// Waits for the reply and, with a streamed body, for the rest of the upload.
 async fn await_reply<P: Runtime>(
     connection: &ClientConnection<P>,
     handle: &mut RequestHandle<P>,
     upload: Option<Rc<Upload>>,
 ) -> Result<RequestOutcome, ClientDisconnected> {
     match upload {
-        // Behind a chunked body whose end only hyper saw, something may wait unread, and the end of
-        // the connection behind that.
+        // hyper can find the end of a chunked body before all input is read. Unread input would hide a disconnect that
+        // follows it.
         None if !connection.has_complete_request() => {
             connection.unless_disconnected(handle.outcome()).await
         }
@@ -281,45 +284,45 @@
     }
 }
 
-/// The trimmed value of a header, if it is there.
+/// The trimmed value of a header; `None` if the request lacks it.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let value = headers.get(name).map(|value| value.to_str().map(str::trim)).transpose();
     value.map_err(|_| RequestError::Rejected(StatusCode::BAD_REQUEST))
 }
 
-/// What a request is about, as its cookie says.
-fn request_key(headers: &HeaderMap) -> Option<u64> {
-    headers.get_all(header::COOKIE).iter().find_map(cookie_key)
+/// The affinity key in the cookies of a request.
+fn affinity_key(headers: &HeaderMap) -> Option<u64> {
+    headers.get_all(header::COOKIE).iter().find_map(affinity_key_of_cookie)
 }
 
-fn cookie_key(cookies: &HeaderValue) -> Option<u64> {
+fn affinity_key_of_cookie(cookies: &HeaderValue) -> Option<u64> {
     let pairs = cookies.to_str().ok()?.split(';').filter_map(|pair| pair.split_once('='));
     let mut keys = pairs.filter(|(name, _)| name.trim() == KEY_COOKIE);
     let value = keys.next()?.1.trim();
     Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| stable_hash(value.as_bytes())))
 }
 
-/// Reads a body completely or, if it is longer than `most` bytes, a little more than that; then the
-/// rest is returned.
+/// Reads a body completely or, if it is longer than `min_bytes`, at least that many bytes of it, and returns the rest
+/// of the body unread.
 ///
-/// The bytes are copied into one buffer: a body that arrives byte by byte would take many times its
-/// size if each piece were kept as it came.
+/// The bytes are copied into one buffer, because a body that arrives byte by byte would take many times its size if
+/// its chunks were kept as they arrive.
 async fn read_prefix(
     mut body: Incoming,
-    most: usize,
+    min_bytes: usize,
 ) -> Result<(Bytes, Option<Incoming>), ClientDisconnected> {
-    let mut first = BytesMut::with_capacity(most);
+    let mut first = BytesMut::with_capacity(min_bytes);
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| ClientDisconnected)?.into_data() else { continue };
         first.extend_from_slice(&data);
-        if first.len() >= most && !body.is_end_stream() {
+        if first.len() >= min_bytes && !body.is_end_stream() {
             return Ok((first.freeze(), Some(body)));
         }
     }
     Ok((first.freeze(), None))
 }
 
-/// The rest of a client's long body. It tells the connection when it has ended.
+/// The rest of a long request body. It notifies its connection when the body has ended or failed.
 struct StreamedRequestBody<P: Runtime> {
     body: PacedBody<P>,
     connection: Rc<ClientConnection<P>>,
@@ -336,7 +339,7 @@
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         match &frame {
             None => self.connection.enter(Phase::AwaitingResponse),
-            // Nothing more of this connection can be used.
+            // The connection cannot be used for another request.
             Some(Err(BodyError)) => self.connection.request_close(CloseReason::BodyFailed),
             Some(Ok(_)) if self.body.is_end_stream() => {
                 self.connection.enter(Phase::AwaitingResponse);
--- a/src/sidecar/ingress/response.rs
+++ b/src/sidecar/ingress/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: heads, streamed bodies and the date.
+//! Responses to clients: heads, streamed bodies and the `Date` header.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -19,14 +19,14 @@
 use crate::sidecar::driver::RequestOutcome;
 use crate::sidecar::upstream::UpstreamResponse;
 
-/// The body of a response before it is bound to its connection.
+/// The body of a response before it is assigned to a connection.
 #[derive(Default)]
 pub(super) struct ResponseParts {
-    /// All of it, or its first bytes.
+    /// The whole body, or its first bytes if it is streamed.
     pub first: Bytes,
-    /// What is streamed behind them.
+    /// The rest of a streamed body.
     pub rest: Option<BoxedBody>,
-    /// The memory that is reserved for it.
+    /// The memory reserved for the body.
     pub reservation: Reservation,
 }
 
@@ -37,7 +37,7 @@
     response
 }
 
-/// The response that tells a client the outcome of its request.
+/// The response for the outcome of a request.
 pub(super) fn reply_response(reply: RequestOutcome) -> Response<ResponseParts> {
     match reply {
         RequestOutcome::Served(UpstreamResponse { headers, body, rest, reservation }) => {
@@ -58,8 +58,8 @@
     }
 }
 
-/// The headers of a message that are forwarded: all but the hop-by-hop ones (RFC 9110, section
-/// 7.6.1) and those that servers address to this sidecar.
+/// The headers of a message that are forwarded: all except hop-by-hop headers (RFC 9110, section 7.6.1) and those that
+/// servers send to this sidecar itself.
 pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -93,7 +93,7 @@
     )
 }
 
-/// The time of day as responses carry it (RFC 9110, section 6.6.1), formatted once a second.
+/// The value of the `Date` header (RFC 9110, section 6.6.1), formatted once a second.
 pub(super) struct DateCache {
     cached: RefCell<CachedDate>,
 }
@@ -111,7 +111,7 @@
 }
 
 impl DateCache {
-    /// The value of the `Date` header.
+    /// The `Date` header for the current time.
     pub fn header<P: Runtime>(&self) -> HeaderValue {
         let now = P::unix_time().as_secs();
         let mut cached = self.cached.borrow_mut();
@@ -124,18 +124,18 @@
     }
 }
 
-/// The body of a response on its way to a client. Once it is dropped, its connection is idle as
-/// soon as all is written.
+/// The body of a response that is sent to a client. When it is dropped, its connection becomes idle with the next
+/// complete flush.
 pub(super) struct ResponseBody<P: Runtime> {
     first: Full<Bytes>,
     rest: Option<BoxedBody>,
     connection: Rc<ClientConnection<P>>,
-    /// Returned to the budget with the body.
+    /// The memory reserved for the body, returned to the budget when the body is dropped.
     _reservation: Reservation,
 }
 
 impl<P: Runtime> ResponseBody<P> {
-    /// A body of `first` and, behind it, `rest`.
+    /// Creates a body of `first` followed by `rest`.
     pub fn new(
         first: Full<Bytes>,
         rest: Option<BoxedBody>,
@@ -166,7 +166,7 @@
         }
         let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
         let frame = rest.as_mut().poll_frame(cx);
-        // The time that the server takes is not the client's fault.
+        // Time spent waiting for the server does not count towards the client's read timeout.
         match frame {
             Poll::Pending => self.connection.response_waits(),
             Poll::Ready(_) => self.connection.response_continues(),
--- a/src/sidecar/ingress/service.rs
+++ b/src/sidecar/ingress/service.rs
@@ -1,4 +1,4 @@
-//! The task of one client connection: hyper's side of it, its timeouts and its end.
+//! The task of one client connection: serving requests with hyper, timeouts, and the close.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,34 +22,34 @@
 use crate::sidecar::framing::MAX_HEAD_BYTES;
 use crate::sidecar::invariants::Violation;
 
-/// How long, and how far, a closing connection is read on, so that what the client still sends does
-/// not reset the connection before it has read its response.
+/// Limits for reading and discarding input of a closing connection. Input that is left unread would reset the
+/// connection before the client has read its response.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 const LINGER_MAX_BYTES: usize = 256 << 10;
 
-/// The most connections of which the end of the process is logged one by one.
+/// Maximum number of unanswered connections that are logged one by one when the process exits.
 const MAX_LOGGED_AT_EXIT: usize = 16;
 
-/// How serving requests on a connection has ended.
+/// The end of serving requests on a connection.
 struct ConnectionEnd {
-    /// The client has all of its responses, and the connection can be closed in order.
+    /// All responses have been written, so the connection can be closed gracefully.
     responded: bool,
     reason: CloseReason,
 }
 
 impl<P: Runtime> Ingress<P> {
-    /// Serves one connection up to its end.
+    /// Serves one connection until it is closed.
     pub(super) async fn serve_connection(
         self: Rc<Ingress<P>>,
         connection: Rc<ClientConnection<P>>,
         socket: Rc<P::Tcp>,
         permit: SocketPermit,
     ) {
-        // A connection that is broken already shows when it is read.
+        // If this fails, the connection is broken, and the first read reports it.
         let _ = socket.set_nodelay();
         let ConnectionEnd { responded, reason } = self.serve_requests(&connection, &socket).await;
         self.record_end(&connection, reason);
-        // Also where hyper has closed its side in order: it never saw what is faulty.
+        // Applies also if hyper has closed its side gracefully, since hyper never got the faulty input.
         let rejected = reject_unframed(&connection, &*socket);
         if responded || rejected {
             connection.enter(Phase::Lingering);
@@ -61,17 +61,17 @@
         } else {
             self.record_unanswered(&connection, reason);
             if connection.phase().is_busy() {
-                // A response that is cut short must not look complete to anyone.
+                // A reset shows the client that the response is truncated.
                 socket.reset_on_close();
             }
         }
         self.connections.borrow_mut().remove(&connection.number());
         drop(socket);
         drop(permit);
-        self.place_freed.notify_one();
+        self.connection_ended.notify_one();
     }
 
-    /// Counts and logs how serving requests on a connection has ended.
+    /// Counts and logs the end of serving requests on a connection.
     fn record_end(&self, connection: &ClientConnection<P>, reason: CloseReason) {
         self.status.events.record_close(reason);
         tracing::debug!(
@@ -84,7 +84,7 @@
         );
     }
 
-    /// Counts and logs a close that leaves input of a client without a response.
+    /// Counts and logs a close that leaves client input without a response.
     fn record_unanswered(&self, connection: &ClientConnection<P>, reason: CloseReason) {
         let Some(unanswered) = connection.unanswered() else { return };
         if unanswered == Unanswered::AfterEnd {
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Counts and logs what the end of the process leaves unanswered. `queue_is_open`: connections may wait in the
-    /// listener's queue, which ends with it.
+    /// Counts and logs the input that stays unanswered when the process exits. `queue_is_open` means that connections
+    /// may still wait in the listener's queue, and are reset with it.
     pub fn record_exit(&self, queue_is_open: bool) {
         let connections = self.connections.borrow();
         let unanswered = || connections.values().filter(|c| c.unanswered().is_some());
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Counts and logs input that came when its connection had been ended.
+    /// Counts and logs input that arrived after its connection had been shut down.
     fn record_late_input(&self, connection: &ClientConnection<P>, reason: CloseReason) {
         self.status.events.record_late_input();
         tracing::debug!(
@@ -131,11 +131,11 @@
             %reason,
             idle_ms = connection.time_in_phase().as_millis() as u64,
             last_request = connection.last_request(),
-            "input came after the end of its client connection"
+            "input arrived after the shutdown of its client connection"
         );
     }
 
-    /// Has hyper serve requests until the connection ends.
+    /// Serves requests with hyper until the connection ends.
     async fn serve_requests(
         self: &Rc<Ingress<P>>,
         connection: &Rc<ClientConnection<P>>,
@@ -144,13 +144,13 @@
         let io = TokioIo::new(Stream::new(socket.clone(), connection.clone()));
         let service =
             service_fn(|request| self.clone().handle_request(connection.clone(), request));
-        // What is in progress ends with hyper's connection, so a request that times out here is not
-        // answered a second time.
+        // Dropping hyper's connection cancels its request in progress, so a request that times out here cannot get a
+        // second response.
         let mut http = Box::pin(
             http1::Builder::new()
                 .max_buf_size(MAX_HEAD_BYTES)
                 .header_read_timeout(None)
-                // hyper would take the system's time, whatever the platform's is.
+                // hyper would use the system clock, not the clock of the runtime.
                 .auto_date_header(false)
                 .serve_connection(io, service),
         );
@@ -159,7 +159,7 @@
             ended = http.as_mut() => match ended {
                 Ok(()) => ConnectionEnd { responded: true, reason: CloseReason::Finished },
                 Err(error) => {
-                    tracing::debug!(%error, "client connection broke");
+                    tracing::debug!(%error, "client connection failed");
                     ConnectionEnd { responded: error.is_parse(), reason: CloseReason::Broken }
                 }
             },
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Completes when the connection is to be closed, and may be.
+    /// Completes when a close of the connection is requested and allowed.
     async fn close_allowed(&self, connection: &ClientConnection<P>) -> CloseReason {
         loop {
             let reason = connection.close_requested().await;
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Responds to one request.
+    /// Produces the response to one request.
     ///
     /// # Errors
     ///
@@ -222,23 +222,22 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Whether the connection ends with this response.
+    /// Whether the connection is closed after this response.
     ///
-    /// What a client sends once it was told that something is wrong with its request cannot be
-    /// relied upon; and where only hyper saw a body's end, what follows was not checked. Neither
-    /// goes on on the same connection.
+    /// It is closed after an error that concerns the request itself, because later input of that client
+    /// cannot be relied on, and after a request whose body end only hyper has found, because the input after it has not
+    /// been checked.
     fn is_last_response(&self, connection: &ClientConnection<P>, status: StatusCode) -> bool {
         let unusable = !status.is_success() && connection.phase() != Phase::AwaitingResponse;
-        let leaving = self.shutdown_deadline.get().is_some()
+        let draining = self.shutdown_deadline.get().is_some()
             || self.drained_for().is_some_and(|time| time >= DRAIN_PROPAGATION_DELAY);
-        leaving || unusable || !connection.has_complete_request()
+        draining || unusable || !connection.has_complete_request()
     }
 }
 
-/// Ends a connection whose client has more to say or to read.
+/// Ends a connection before its client has sent or received everything.
 ///
-/// Of a request that was received in part the rest may be on its way: its client is told that nothing
-/// will come of it.
+/// The rest of a request that was received in part may be on its way, so its client gets an error response.
 fn end_early<P: Runtime>(
     connection: &ClientConnection<P>,
     socket: &P::Tcp,
@@ -253,7 +252,7 @@
     ConnectionEnd { responded: is_partial && reject(connection, socket, status), reason }
 }
 
-/// Rejects a request whose framing is faulty, if it can still be told so. True: it was.
+/// Rejects a request with a framing error, if a response can still be written. Returns whether it was.
 fn reject_unframed<P: Runtime>(connection: &ClientConnection<P>, socket: &P::Tcp) -> bool {
     connection.framing_error().is_some_and(|error| {
         matches!(
@@ -263,8 +262,8 @@
     })
 }
 
-/// Writes a response in hyper's place, to a request that hyper is not to see or will not see
-/// completely. To be used only while nothing of a response has been written. True: it is written.
+/// Writes an error response directly to the socket, for a request that hyper does not get completely. May be called
+/// only while no part of a response has been written. Returns whether the response was written.
 fn reject<P: Runtime>(
     connection: &ClientConnection<P>,
     socket: &P::Tcp,
--- a/src/sidecar/inherited_listener.rs
+++ b/src/sidecar/inherited_listener.rs
@@ -1,44 +1,45 @@
-//! A listener that this process inherits: the `LISTEN_FDS` convention of sd_listen_fds(3). It
-//! outlives the process, so no connection is refused while the process is replaced; what connects
-//! meanwhile waits in the listener's queue.
+//! Listener inheritance with the `LISTEN_FDS` convention of sd_listen_fds(3). The listener outlives the process, so no
+//! connection is refused while the process is replaced. New connections wait in the listener's queue meanwhile.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
 use listenfd::ListenFd;
 
-/// How many connections may wait to be accepted: a crowd connects within a second.
+/// Maximum number of connections that wait to be accepted. Bursts of clients connect within a second.
 pub const LISTEN_BACKLOG: i32 = 4096;
 
-/// Why an inherited listener cannot be used.
+/// An error because of which an inherited listener cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
     /// More than one socket was passed.
-    #[error("LISTEN_FDS: one listener expected, not {count}")]
+    #[error("LISTEN_FDS: expected one listener, got {count}")]
     TooMany {
-        /// How many were.
+        /// The number of sockets passed.
         count: usize,
     },
-    /// Its address is not the configuration's.
-    #[error("LISTEN_FDS: a listener at {inherited}, but listen is {configured}")]
+    /// The listener has another address than the configured one.
+    #[error(
+        "LISTEN_FDS: the inherited listener is bound to {inherited}, but listen is {configured}"
+    )]
     WrongAddress {
-        /// Where it listens.
+        /// The address of the listener.
         inherited: SocketAddr,
-        /// Where it should.
+        /// The configured address.
         configured: SocketAddr,
     },
-    /// The system refuses what is asked of it.
+    /// A system call failed.
     #[error("LISTEN_FDS: {0}")]
     System(#[from] io::Error),
 }
 
-/// The listener that was passed to this process, if one was.
+/// The listener that was passed to this process; `None` if none was.
 ///
-/// One at another address than the configuration's would serve the wrong clients without a word.
+/// A listener at another address is an error, because it would serve the wrong clients silently.
 ///
 /// # Errors
 ///
-/// When what was passed is not one listener at `address`.
+/// When other sockets than one listener at `address` were passed.
 pub fn inherited_listener(
     address: SocketAddr,
 ) -> Result<Option<TcpListener>, InheritedListenerError> {
@@ -53,8 +54,8 @@
         return Err(InheritedListenerError::WrongAddress { inherited, configured: address });
     }
     listener.set_nonblocking(true)?;
-    // What connects while processes are replaced needs as long a queue as our own listener has;
-    // whoever bound it may have asked for less.
+    // Connections that arrive while the process is replaced need the same backlog as a listener bound by this process.
+    // The listener may have been bound with a shorter one.
     let _ = socket2::SockRef::from(&listener).listen(LISTEN_BACKLOG);
     Ok(Some(listener))
 }
--- a/src/sidecar/live.rs
+++ b/src/sidecar/live.rs
@@ -1,5 +1,5 @@
-//! The values of the configuration that a reload can change while requests are in progress.
-//! Everything else is fixed from the start to the end of the process.
+//! The configuration values that a reload can change while requests are in progress. All others stay the same until the
+//! process exits.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,32 +8,31 @@
 use super::budget::max_servers;
 use super::config::{Config, ProtocolNames};
 
-/// The part of a server's idle timeout for which a connection is reused.
+/// Fraction of the servers' idle timeout during which an idle connection is reused.
 const REUSE_FRACTION: f64 = 0.7;
 
-/// How long the parts of an attempt may take.
+/// The timeouts of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimeouts {
-    /// Until a connection is established.
+    /// Maximum time to establish a connection.
     pub connect: Duration,
-    /// How long a connection may be idle before servers close it.
+    /// The idle time after which servers close a connection.
     pub idle: Duration,
-    /// The longest time between two pieces of a response.
+    /// Maximum time between two reads of a response.
     pub read: Duration,
 }
 
 impl AttemptTimeouts {
-    /// How long a connection may be idle and still be reused.
+    /// Maximum idle time of a connection that is reused.
     ///
-    /// A request that is written just as the server closes the connection is lost with a reset, so
-    /// connections are retired well before.
+    /// A request that is written while the server closes the connection is lost with a reset, so connections are
+    /// retired well before the server's idle timeout.
     pub fn max_reuse_idle(self) -> Duration {
         self.idle.mul_f64(REUSE_FRACTION)
     }
 }
 
-/// The values in force, shared by all that use them. A request in progress keeps those that it
-/// began with.
+/// The shared current values. A request in progress keeps the values that it started with.
 pub struct LiveConfig {
     names: RefCell<Rc<ProtocolNames>>,
     deadlines: RefCell<Vec<Duration>>,
@@ -41,12 +40,12 @@
     max_body_bytes: Cell<usize>,
     max_servers: Cell<usize>,
     generation: Cell<u64>,
-    /// Until when requests may be in progress that were admitted under earlier deadlines.
-    earlier_requests_due: Cell<Option<Instant>>,
+    /// The latest deadline of requests that were admitted before a reload; `None` without a reload.
+    earlier_request_deadline: Cell<Option<Instant>>,
 }
 
 impl LiveConfig {
-    /// The values of `config`.
+    /// Creates the values of `config`.
     pub fn new(config: &Config) -> Rc<LiveConfig> {
         Rc::new(LiveConfig {
             names: RefCell::new(config.names.clone()),
@@ -55,14 +54,14 @@
             max_body_bytes: Cell::new(config.max_body_bytes),
             max_servers: Cell::new(max_servers(config.memory_bytes)),
             generation: Cell::new(config.generation),
-            earlier_requests_due: Cell::new(None),
+            earlier_request_deadline: Cell::new(None),
         })
     }
 
-    /// Puts the values of `config` in force, at the time `now`.
+    /// Applies the values of `config` at the time `now`.
     pub fn apply(&self, config: &Config, now: Instant) {
-        let earlier = self.earlier_requests_due.get().max(Some(now + self.longest_deadline()));
-        self.earlier_requests_due.set(earlier);
+        let earlier = self.earlier_request_deadline.get().max(Some(now + self.longest_deadline()));
+        self.earlier_request_deadline.set(earlier);
         *self.names.borrow_mut() = config.names.clone();
         *self.deadlines.borrow_mut() = deadlines(config);
         self.timeouts.set(timeouts(config));
@@ -71,51 +70,50 @@
         self.generation.set(config.generation);
     }
 
-    /// Names that are used on sockets for numbers of the settings.
+    /// The names used in protocols for the numbers in the settings.
     pub fn names(&self) -> Rc<ProtocolNames> {
         self.names.borrow().clone()
     }
 
-    /// How long clients of a class wait at most.
+    /// The longest time that clients wait for a response to a request of this class.
     ///
     /// # Panics
     ///
-    /// When the settings have no such class.
+    /// If the settings have no such class.
     pub fn deadline(&self, class: usize) -> Duration {
         self.deadlines.borrow()[class]
     }
 
-    /// How long clients of any class wait at most.
+    /// The longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
         self.deadlines.borrow().iter().max().copied().unwrap_or_default()
     }
 
-    /// Until when requests that were admitted up to `now` may be in progress.
+    /// The latest deadline of requests that were admitted by `now`.
     ///
-    /// A request keeps the deadline that it was admitted with. A process that goes by the present
-    /// deadlines alone would end while requests are in progress that were admitted before a reload
-    /// shortened them.
-    pub fn all_requests_due(&self, now: Instant) -> Instant {
-        let due = now + self.longest_deadline();
-        self.earlier_requests_due.get().map_or(due, |earlier| earlier.max(due))
+    /// A request keeps the deadline with which it was admitted. If only the current deadlines were considered, a
+    /// shutdown after a reload that shortened them would end while earlier requests are still in progress.
+    pub fn last_request_deadline(&self, now: Instant) -> Instant {
+        let deadline = now + self.longest_deadline();
+        self.earlier_request_deadline.get().map_or(deadline, |earlier| earlier.max(deadline))
     }
 
-    /// How long the parts of an attempt may take.
+    /// The timeouts of an attempt.
     pub fn timeouts(&self) -> AttemptTimeouts {
         self.timeouts.get()
     }
 
-    /// The longest body that is forwarded, in bytes.
+    /// Maximum size of a forwarded body, in bytes.
     pub fn max_body_bytes(&self) -> usize {
         self.max_body_bytes.get()
     }
 
-    /// How many servers may be known.
+    /// Maximum number of servers taken from an endpoint list.
     pub fn max_servers(&self) -> usize {
         self.max_servers.get()
     }
 
-    /// The number of the configuration in force.
+    /// The generation of the current configuration.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -1,6 +1,5 @@
-//! The sidecar on real sockets: clients on one side, servers on the other, and discovery and the
-//! other sidecars beside them. All decisions are made by [`crate::balancer`]; `driver` is the only
-//! module here that talks to it.
+//! The sidecar process: the proxy between clients and servers, with discovery and gossip with other sidecars.
+//! [`crate::balancer`] makes all decisions, and only `driver` communicates with it.
 
 pub mod admin;
 pub mod body;
@@ -42,38 +41,37 @@
 use self::reload::Targets;
 use self::startup::{Components, Serving, StartError};
 
-/// What controls the sidecar from outside while it runs.
+/// External control of a running sidecar.
 pub struct Control<S, H, R> {
-    /// Completes when the sidecar is to shut down.
+    /// Completes to start a graceful shutdown.
     pub stop: S,
-    /// Completes when a successor on the same listener accepts what comes from now on.
+    /// Completes to start a graceful shutdown in which a successor on the same listener accepts new connections.
     pub hand_over: H,
-    /// A message for each time that the configuration is to be reloaded.
+    /// Receives a message for each requested configuration reload.
     pub reload: mpsc::Receiver<()>,
-    /// Reads the configuration again.
+    /// Reads the configuration for a reload.
     pub read: R,
 }
 
-/// The sockets that a sidecar is started with.
+/// The sockets and the state file that a sidecar starts with.
 pub struct Sockets<P: Runtime> {
-    /// Where clients connect.
+    /// Accepts client connections.
     pub listener: P::Listener,
-    /// A predecessor accepts on the same listener, until this sidecar can serve.
+    /// The listener is inherited, and a predecessor accepts on it until this sidecar can serve.
     pub listener_shared: bool,
-    /// Where datagrams of other sidecars arrive, if they may.
+    /// Receives datagrams of other sidecars; `None` if they are not received.
     pub peers: Option<P::Udp>,
-    /// Where operators connect, if they may.
+    /// Accepts admin connections; `None` if there is no admin listener.
     pub admin: Option<P::Listener>,
-    /// Where the admin state is stored, for this process and those before and after it.
+    /// Stores the admin state across replacements of the process; `None` if the state ends with the process.
     pub admin_state_file: Option<StateFile>,
 }
 
-/// Runs the sidecar on the real system until it is told to shut down and all admitted requests are
-/// served.
+/// Binds the sockets and runs the sidecar until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// When a socket cannot be had, or the configuration cannot be used.
+/// When a socket cannot be bound, or the configuration cannot be used.
 pub async fn run<S, H, R>(config: Config, control: Control<S, H, R>) -> Result<(), StartError>
 where
     S: Future<Output = ()>,
@@ -84,7 +82,7 @@
     serve(config, sockets, control).await
 }
 
-/// Runs the sidecar on the sockets that it is given.
+/// Runs the sidecar on the given sockets until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
@@ -102,21 +100,28 @@
 {
     let Sockets { listener, listener_shared, peers, admin, admin_state_file } = sockets;
     let components = Components::<P>::new(&config, peers)?;
-    let how = config.settings.discovery;
-    let stop_sending_within = Duration::from_micros(config.settings.rules.drain_deadline);
+    let discovery_mode = config.settings.discovery;
+    let drain_deadline = Duration::from_micros(config.settings.rules.drain_deadline);
     let (to_discovery, calls) = mpsc::unbounded_channel();
     let driver = components.driver(config.settings, config.seed, to_discovery);
     let ingress = components.ingress(driver.clone(), config.name);
-    let admin = admin.map(|at| components.start_admin(at, &driver, &ingress, admin_state_file));
+    let admin =
+        admin.map(|listener| components.start_admin(listener, &driver, &ingress, admin_state_file));
 
-    startup::restore_server_list(&driver, config.cached_endpoints.as_ref(), how);
-    let version = config.cached_endpoints.as_ref().map_or(0, |known| known.version);
+    startup::restore_endpoint_list(&driver, config.cached_endpoints.as_ref(), discovery_mode);
+    let version = config.cached_endpoints.as_ref().map_or(0, |cached| cached.version);
     let discovery_attempted = Rc::new(Notify::new());
-    let (discovery_address, at) = watch::channel(config.discovery);
+    let (discovery_address, watched_address) = watch::channel(config.discovery);
     let attempted = discovery_attempted.clone();
     let status = components.status.clone();
-    let discovery =
-        discovery::Discovery::<P>::new(at, how, stop_sending_within, version, attempted, status);
+    let discovery = discovery::Discovery::<P>::new(
+        watched_address,
+        discovery_mode,
+        drain_deadline,
+        version,
+        attempted,
+        status,
+    );
     P::spawn(discovery.run(driver.clone(), calls));
     components.start_background_tasks(&driver);
     startup::log_listening::<P>(&listener)?;
--- a/src/sidecar/notify.rs
+++ b/src/sidecar/notify.rs
@@ -1,5 +1,5 @@
-//! Status reports to the supervisor of this process, where `NOTIFY_SOCKET` names a socket for them. The crate
-//! `instance-status` has what a report contains.
+//! Status reports to the supervisor of this process, sent to the socket named by `NOTIFY_SOCKET`. The crate
+//! `instance-status` defines their content.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 use runtime::Runtime;
 use tokio::sync::Notify;
 
-/// The time between two reports.
+/// Interval between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// The pause after a report that could not be sent.
+/// Delay after a report that could not be sent.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends a report at every notification of `changed`, and at regular times; never ends.
+/// Sends a report at every notification of `changed`, and at regular intervals; never returns.
 ///
-/// The reports come from the event loop that serves clients, so that they stop if it hangs. A full queue drops a
-/// report, and a supervisor that was kept from reading would take that for a hang: the report is soon sent again.
+/// Reports are sent from the event loop that serves clients, so that they stop if it hangs. A report is lost if the
+/// queue of the socket is full. A supervisor that was prevented from reading would take that for a hang, so the report
+/// is sent again soon.
 pub async fn run<P: Runtime>(
     supervisor: SupervisorSocket,
     status: impl Fn() -> InstanceStatus,
--- a/src/sidecar/reload.rs
+++ b/src/sidecar/reload.rs
@@ -1,5 +1,5 @@
-//! Configuration reloads. The file is read and checked as at the start. What can change in a running process is
-//! applied at once; `discovery` is applied even where another key needs a restart.
+//! Configuration reloads. The file is read and validated as at startup. Keys that a running process can change are
+//! applied at once; `discovery` is applied even if another changed key needs a restart.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,46 +16,47 @@
 use super::live::LiveConfig;
 use super::status::Status;
 
-/// The pause before a configuration file is read again that could not be read.
+/// Delay before an unreadable configuration file is read again.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// After so many failures in a row the reload is reported as rejected, though it is still tried.
+/// Number of consecutive read failures after which the reload is reported as rejected. It is still retried then.
 const READ_FAILURES_BEFORE_REJECTION: u32 = 10;
 
-/// What a new configuration is applied to.
+/// The components that a new configuration is applied to.
 pub struct Targets<P: Runtime> {
-    /// The address of discovery.
+    /// Publishes the address of discovery.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Values that are read at each request.
+    /// The values that are read for each request.
     pub live: Rc<LiveConfig>,
-    /// The balancer.
+    /// The driver of the balancer.
     pub driver: Rc<Driver<P>>,
-    /// The budget of descriptors.
+    /// The descriptor budget.
     pub socket_budget: Rc<SocketBudget>,
-    /// The budget of memory.
+    /// The memory budget of bodies.
     pub body_budget: BodyBudget,
-    /// Where the outcome is recorded.
+    /// Records the outcome.
     pub status: Rc<Status>,
-    /// The part that cannot change while the process runs.
+    /// The part of the configuration that only a restart can change.
     pub restart_only: Value,
 }
 
-/// Why a reload was not, or not completely, applied.
+/// An error because of which a reload was not applied, or only in part.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The configuration cannot be used; nothing was applied.
+    /// The configuration is invalid. Nothing was applied.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
-    /// A key has changed that a running process cannot apply; `discovery` alone was applied.
-    #[error("{key}: only a new process can take this over")]
+    /// A key has changed that a running process cannot change. Only `discovery` was applied.
+    #[error("{key}: a change of this key requires a restart")]
     RestartRequired {
         /// The path of the key.
         key: String,
     },
 }
 
-/// Reloads the configuration at each message of `requests`; never ends. An invalid one changes nothing; a file that
-/// cannot be read is tried again, since nobody asks a second time. Reloads go on during a graceful shutdown, since
-/// endpoint lists of another discovery matter there, too.
+/// Reloads the configuration for each message of `requests`; never returns.
+///
+/// An invalid configuration changes nothing. Reading an unreadable file is retried, because the reload is not requested
+/// again. Reloads continue during a graceful shutdown, which also needs the endpoint lists of another discovery.
 pub async fn run<P: Runtime>(
     mut requests: mpsc::Receiver<()>,
     read: impl Fn() -> Result<Config, ConfigError>,
@@ -70,7 +71,7 @@
                 "failed to reload configuration, keeping the current one"
             );
             read_failures += 1;
-            // Whoever waits for the outcome would take a file that cannot be read for a moment for a rejected one.
+            // A file that is unreadable for a moment must not be reported as rejected to those waiting for the outcome.
             if !is_transient || read_failures == READ_FAILURES_BEFORE_REJECTION {
                 targets.reject(0, &error.into());
             }
@@ -100,7 +101,7 @@
         self.status.record_reload(None);
     }
 
-    /// Returns whether the address of discovery has changed.
+    /// Publishes the address of discovery. Returns whether it has changed.
     fn apply_discovery(&self, address: SocketAddr) -> bool {
         self.discovery.send_if_modified(|current| {
             let moved = *current != address;
@@ -123,7 +124,7 @@
     }
 }
 
-/// The path of the first key in which two values differ.
+/// The path of the first key in which two values differ; `None` if they are equal.
 fn first_difference(a: &Value, b: &Value) -> Option<String> {
     let (Value::Object(x), Value::Object(y)) = (a, b) else {
         return (a != b).then(String::new);
--- a/src/sidecar/reload/tests.rs
+++ b/src/sidecar/reload/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the comparison of configurations.
+//! Tests of comparing configurations.
 
 use serde_json::json;
 
--- a/src/sidecar/request_ids.rs
+++ b/src/sidecar/request_ids.rs
@@ -1,4 +1,4 @@
-//! The correlation ids of requests that are in progress, or were until recently.
+//! The correlation ids of requests that are in progress or have ended recently.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -8,13 +8,13 @@
 
 use runtime::Runtime;
 
-/// How long an id stays in use after its request's end: a copy of the request may still arrive that
-/// was sent while it was in progress. Honest clients never use an id twice.
+/// Time for which an id stays in use after the end of its request, because a copy that was sent before the end may
+/// still arrive. Well-behaved clients never reuse an id.
 const RETENTION: Duration = Duration::from_secs(2);
-/// How many ids are retained at most beyond their request's end.
+/// Maximum number of ids that stay in use after the end of their requests.
 const MAX_RETAINED: usize = 4096;
 
-/// The ids in use, by their hashes, which clients cannot predict.
+/// The ids in use, stored as hashes with a random key, so that clients cannot cause collisions.
 pub struct RequestIds<P> {
     hasher: RandomState,
     in_use: RefCell<HashSet<u64>>,
@@ -39,18 +39,18 @@
     }
 }
 
-/// The id of a request in progress; to be dropped when the request has ended.
-pub struct OpenId<'a, P: Runtime> {
+/// Keeps the id of a request in use. Has to be dropped when the request has ended.
+pub struct RequestIdGuard<'a, P: Runtime> {
     ids: &'a RequestIds<P>,
     hash: u64,
 }
 
 impl<P: Runtime> RequestIds<P> {
-    /// Takes an id into use; none if it is in use.
-    pub fn open(&self, id: &str) -> Option<OpenId<'_, P>> {
+    /// Marks an id as used. Returns `None` if it is in use already.
+    pub fn acquire(&self, id: &str) -> Option<RequestIdGuard<'_, P>> {
         self.release_expired();
         let hash = self.hasher.hash_one(id);
-        self.in_use.borrow_mut().insert(hash).then_some(OpenId { ids: self, hash })
+        self.in_use.borrow_mut().insert(hash).then_some(RequestIdGuard { ids: self, hash })
     }
 
     fn release_expired(&self) {
@@ -64,7 +64,7 @@
     }
 }
 
-impl<P: Runtime> Drop for OpenId<'_, P> {
+impl<P: Runtime> Drop for RequestIdGuard<'_, P> {
     fn drop(&mut self) {
         self.ids.ended.borrow_mut().push_back(EndedId { hash: self.hash, at: P::now() });
     }
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: requests that were admitted are served, and none is admitted that could not
-//! be. Also the draining of clients that operators ask for.
+//! Graceful shutdown: all admitted requests are served, and no request is admitted that could not be served in time.
+//! Also closes client connections while operators drain this instance.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,31 +8,30 @@
 
 use super::ingress::{CloseScope, DRAIN_PROPAGATION_DELAY, Ingress};
 
-/// New connections continue to arrive for up to 0.4 s after the signal; once none has for a while
-/// after that, idle connections are closed.
+/// Delay from the signal until idle connections may be closed. New connections arrive for up to 0.4 s after the signal.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Without a new connection for this long, no more are expected.
+/// Time without a new connection after which no more are expected.
 const QUIET_PERIOD: Duration = Duration::from_millis(100);
-/// A request that is incomplete this long after the signal might not be served in time. The process
-/// is killed no sooner than the longest deadline and 0.7 s after the signal.
+/// Time from the signal after which an incomplete request is no longer admitted, since it might not be served in time.
+/// The process is killed at the earliest 0.7 s and the longest deadline after the signal.
 const ADMISSION_PERIOD: Duration = Duration::from_millis(650);
-/// How much of that is used, beyond the longest deadline.
+/// Time from the signal, in addition to the longest deadline, after which the process exits.
 const EXIT_GRACE_PERIOD: Duration = Duration::from_millis(695);
-/// How long before the end of the process open requests are failed: it may be held up for 0.15 s, and be killed
-/// right after that.
+/// Time before the exit at which open requests are failed: the process may be held up for 0.15 s and killed right after
+/// that.
 const FAIL_MARGIN: Duration = Duration::from_millis(170);
-/// How long before the end of the process the listener is closed: what was accepted by then has time to send
-/// its request before that is failed.
+/// Time before the exit at which the listener is closed, so that clients that were accepted last can send a request
+/// before open requests are failed.
 const ACCEPT_MARGIN: Duration = Duration::from_millis(300);
+/// Interval at which a shutdown or a drain checks its progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long after operators have drained this instance all idle connections are closed.
+/// Delay from the start of draining by operators until all idle connections are closed.
 const DRAIN_CLOSE_ALL_DELAY: Duration = Duration::from_secs(1);
 
-/// Closes the clients' connections, one after the other, while operators drain this instance; never
-/// ends.
+/// Closes client connections while operators drain this instance; never returns.
 ///
-/// A client whose connection is closed just as it writes has to retry. Connections that have been
-/// idle for a while are closed first, and only once new ones are opened elsewhere.
+/// A client whose connection is closed while it writes has to retry. Therefore connections that have been idle for a
+/// while are closed first, and only once clients can be expected to connect elsewhere.
 pub async fn close_drained_clients<P: Runtime>(ingress: Rc<Ingress<P>>) {
     loop {
         match ingress.drained_for() {
@@ -48,17 +47,17 @@
     }
 }
 
-/// Waits, from the signal on, until everything is served or nothing more can be. By
-/// `all_requests_due` every request has its response that had been admitted at the signal.
+/// Completes when all requests are served or the time for the shutdown is over. Has to be called at the signal. All
+/// requests that were admitted before it have their responses by `last_request_deadline`.
 ///
-/// A process that ends loses what it still owes: requests that came late on open connections, and
-/// responses of which the system has not sent everything. So no request has more time than the
-/// process, what is open shortly before the end is failed, and a connection on which the last
-/// response was written is read on to its end. A rollout that waits for each process takes half a
-/// second longer if the clients do not close their connections.
-pub async fn drain<P: Runtime>(ingress: Rc<Ingress<P>>, all_requests_due: Instant) {
+/// When the process exits, late requests on open connections are lost, and so are responses that the system has not
+/// sent completely. Therefore the time of each request is limited to that of the process, open requests are failed
+/// shortly before the exit, and a connection on which the last response was written is read until its end. As a
+/// drawback, a rollout that waits for each process takes half a second longer if clients do not close their
+/// connections.
+pub async fn drain<P: Runtime>(ingress: Rc<Ingress<P>>, last_request_deadline: Instant) {
     let signal = P::now();
-    let exit = all_requests_due + EXIT_GRACE_PERIOD;
+    let exit = last_request_deadline + EXIT_GRACE_PERIOD;
     let last_accept = (exit - ACCEPT_MARGIN).max(signal + IDLE_CLOSE_DELAY);
     ingress.begin_shutdown(exit - FAIL_MARGIN);
     while P::elapsed_since(signal) < IDLE_CLOSE_DELAY
@@ -67,8 +66,8 @@
     {
         P::sleep(POLL_INTERVAL).await;
     }
-    // A client whose connection is closed just as it writes retries on a new one, so new ones are
-    // accepted for as long as they can be served.
+    // A client whose connection is closed while it writes retries on a new one, so new connections are accepted for as
+    // long as their requests can be served.
     loop {
         let is_admitting = P::elapsed_since(signal) < ADMISSION_PERIOD;
         ingress.close_idle(if is_admitting {
@@ -91,16 +90,16 @@
     }
 }
 
-/// The shutdown of a sidecar whose successor has taken over the listener: nothing new is accepted,
-/// every response is the last on its connection, and idle connections are closed.
+/// Shuts down a sidecar whose successor accepts on the same listener: no connection is accepted, every response closes
+/// its connection, and idle connections are closed.
 ///
-/// A client whose connection is closed just as it writes has to retry on a new one, which the
-/// successor accepts. So at first only those connections are closed that have been idle for a
-/// while; a client that goes on sending is told `Connection: close` with its next response; one
-/// that is neither idle nor finishes is cut off when no response could be in time any more.
-pub async fn hand_over<P: Runtime>(ingress: Rc<Ingress<P>>, all_requests_due: Instant) {
+/// A client whose connection is closed while it writes has to retry on a new one, which the successor accepts.
+/// Therefore only connections that have been idle for a while are closed at first. A client that keeps sending gets
+/// `Connection: close` with its next response. A request that stays incomplete is rejected once its response could not
+/// be in time any more.
+pub async fn hand_over<P: Runtime>(ingress: Rc<Ingress<P>>, last_request_deadline: Instant) {
     let signal = P::now();
-    let exit = all_requests_due + ADMISSION_PERIOD;
+    let exit = last_request_deadline + ADMISSION_PERIOD;
     ingress.begin_shutdown(exit - FAIL_MARGIN);
     loop {
         if P::elapsed_since(signal) >= ADMISSION_PERIOD {
@@ -109,7 +108,7 @@
             ingress.close_evictable();
         }
         if P::now() >= exit || ingress.connection_count() == 0 {
-            // The queue is the successor's.
+            // Connections in the listener's queue belong to the successor.
             return ingress.record_exit(false);
         }
         if P::now() >= exit - FAIL_MARGIN {
