--- a/src/sidecar/startup.rs
+++ b/src/sidecar/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a sidecar, in steps, and its life up to the end of its graceful shutdown.
+//! The startup of a sidecar, and its lifecycle up to the end of its graceful shutdown.
 
 use std::future::Future;
 use std::io;
@@ -28,56 +28,56 @@
 use crate::api::ListKind;
 use crate::settings::{DiscoveryMode, Settings};
 
-/// How often it is checked whether servers are known by now.
+/// Interval at which a starting sidecar checks whether endpoints are known.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a sidecar cannot start.
+/// An error because of which a sidecar cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The listener that it was passed cannot be used.
+    /// The inherited listener cannot be used.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
-    /// Clients cannot connect at the configured address.
+    /// The listener for clients cannot be bound.
     #[error("listen: {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// Other sidecars cannot reach the configured address.
+    /// The socket for datagrams of other sidecars cannot be bound.
     #[error("peer_listen: {address}: {source}")]
     PeerListen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// Operators cannot connect at the configured address.
+    /// The admin listener cannot be bound.
     #[error("admin_addr: {address}: {source}")]
     AdminListen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The listener has no address.
+    /// The address of the listener cannot be determined.
     #[error("listen: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The configuration of the tier cannot be used.
+    /// The gossip configuration is invalid.
     #[error(transparent)]
     Tier(#[from] MembershipError),
 }
 
 impl Sockets<TokioRuntime> {
-    /// Binds the sockets that a configuration asks for, or takes over the inherited listener.
+    /// Binds the configured sockets, or takes over the inherited listener.
     ///
     /// # Errors
     ///
-    /// The address that cannot be had.
+    /// When the inherited listener cannot be used or a socket cannot be bound. The error contains the address.
     pub(super) fn bind(config: &Config) -> Result<Sockets<TokioRuntime>, StartError> {
         let inherited = inherited_listener(config.listen)?;
-        let shared = inherited.is_some();
+        let listener_shared = inherited.is_some();
         let listener = match inherited {
             Some(listener) => TcpListener::from_std(listener),
             None => bind_tcp(config.listen),
@@ -85,7 +85,8 @@
         let address = config.listen;
         let listener = listener.map_err(|source| StartError::Listen { address, source })?;
         let bind_peers = |address| {
-            bind_udp(address, shared).map_err(|source| StartError::PeerListen { address, source })
+            bind_udp(address, listener_shared)
+                .map_err(|source| StartError::PeerListen { address, source })
         };
         let bind_admin = |address| {
             bind_tcp(address).map_err(|source| StartError::AdminListen { address, source })
@@ -96,7 +97,7 @@
         let admin_state_file = folder
             .filter(|_| admin.is_some())
             .map(|folder| StateFile::new(folder.as_ref(), &config.name));
-        Ok(Sockets { listener, listener_shared: shared, peers, admin, admin_state_file })
+        Ok(Sockets { listener, listener_shared, peers, admin, admin_state_file })
     }
 }
 
@@ -109,17 +110,18 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Beside a successor on the same listener, both have this address for a while, and the system
-/// delivers datagrams to the later one. Without one, an address in use is an error.
-fn bind_udp(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
+/// Binds the socket for datagrams of other sidecars. With a shared listener, this process and its predecessor are bound
+/// to this address at the same time for a while, and the system delivers datagrams to the one that bound it last.
+/// Without a shared listener, an address in use is an error.
+fn bind_udp(address: SocketAddr, listener_shared: bool) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
-    socket.set_reuse_address(shared)?;
+    socket.set_reuse_address(listener_shared)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     UdpSocket::from_std(socket.into())
 }
 
-/// What the tasks of a sidecar share.
+/// The state that the tasks of a sidecar share.
 pub(super) struct Components<P: Runtime> {
     pub live: Rc<LiveConfig>,
     pub status: Rc<Status>,
@@ -131,11 +133,11 @@
 }
 
 impl<P: Runtime> Components<P> {
-    /// The components that a configuration asks for. `peers` receives datagrams of other sidecars.
+    /// Creates the configured components. `peers` receives datagrams of other sidecars.
     ///
     /// # Errors
     ///
-    /// When the configuration of the tier cannot be used.
+    /// When the gossip configuration is invalid.
     pub fn new(config: &Config, peers: Option<P::Udp>) -> Result<Components<P>, StartError> {
         let peers = peers.map(|s| Peers::<P>::new(s, config.peers.clone(), config.peers_multicast));
         let live = LiveConfig::new(config);
@@ -152,7 +154,7 @@
         Ok(Components { live, status, socket_budget, body_budget, upstream, peers, tier })
     }
 
-    /// The driver, which makes its calls of discovery through `to_discovery`.
+    /// Creates the driver, which sends its requests for discovery to `to_discovery`.
     pub fn driver(
         &self,
         settings: Settings,
@@ -170,7 +172,7 @@
         )
     }
 
-    /// The client-facing side of an instance of this name.
+    /// Creates the client-facing side of the instance called `name`.
     pub fn ingress(&self, driver: Rc<Driver<P>>, name: String) -> Rc<Ingress<P>> {
         Ingress::new(
             driver,
@@ -182,7 +184,7 @@
         )
     }
 
-    /// Has operators served on `listener`.
+    /// Starts the admin listener.
     pub fn start_admin(
         &self,
         listener: P::Listener,
@@ -198,7 +200,7 @@
         admin
     }
 
-    /// Starts the driver's timers, and what is exchanged with other sidecars.
+    /// Starts the tasks for the driver's timers and for datagrams and gossip of other sidecars.
     pub fn start_background_tasks(&self, driver: &Rc<Driver<P>>) {
         P::spawn(driver.clone().run_timers());
         if let Some(peers) = &self.peers {
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Has the state of the sidecar reported to its supervisor, if it has one.
+    /// Starts status reports to the supervisor, if there is one.
     pub fn start_status_reports(&self, ingress: &Rc<Ingress<P>>) {
         if let Some(supervisor) = instance_status::SupervisorSocket::from_env() {
             let (ingress, status) = (ingress.clone(), self.status.clone());
@@ -220,17 +222,17 @@
     }
 }
 
-/// Gives the driver the list that an earlier process stored.
-pub(super) fn restore_server_list<P: Runtime>(
+/// Passes the endpoint list that was stored by an earlier process to the driver.
+pub(super) fn restore_endpoint_list<P: Runtime>(
     driver: &Rc<Driver<P>>,
-    known: Option<&EndpointList>,
-    how: DiscoveryMode,
+    cached: Option<&EndpointList>,
+    mode: DiscoveryMode,
 ) {
-    match known {
-        Some(known) => driver.update_endpoints(ListKind::Cached, known),
-        // Where discovery is polled, the balancer first polls after what it remembers; one that
-        // remembers nothing would never poll, and refuse everything.
-        None if how == DiscoveryMode::OnRequest => {
+    match cached {
+        Some(cached) => driver.update_endpoints(ListKind::Cached, cached),
+        // With polled discovery, the balancer starts polling after it has got the cached list. Without any list it
+        // would never poll, and would reject all requests.
+        None if mode == DiscoveryMode::OnRequest => {
             driver.update_endpoints(ListKind::Cached, &EndpointList::default());
             driver.fetch_list();
         }
@@ -238,42 +240,42 @@
     }
 }
 
-/// Logs the address at which clients connect.
+/// Logs the address of the listener for clients.
 ///
 /// # Errors
 ///
-/// When the listener has none.
+/// When the address cannot be determined.
 pub(super) fn log_listening<P: Runtime>(listener: &P::Listener) -> Result<(), StartError> {
     let address = listener.local_addr().map_err(StartError::LocalAddress)?;
     tracing::info!(%address, "listening");
     Ok(())
 }
 
-/// How a sidecar ends.
+/// The kind of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shutdown {
-    /// Nobody takes its place: clients may still connect for a while.
+    /// There is no successor, so clients may still connect for a while.
     Drain,
-    /// A successor has the listener.
+    /// A successor accepts on the same listener.
     HandOver,
 }
 
-/// A sidecar that is about to accept clients.
+/// A sidecar that is ready to accept clients.
 pub(super) struct Serving<P: Runtime> {
     pub ingress: Rc<Ingress<P>>,
     pub admin: Option<Rc<Admin<P>>>,
     pub live: Rc<LiveConfig>,
     pub listener: P::Listener,
-    /// A predecessor accepts on the same listener.
+    /// The listener is inherited, and a predecessor accepts on it until this sidecar can serve.
     pub listener_shared: bool,
-    /// Notified once discovery has been attempted.
+    /// Notified once the first call of discovery has completed or failed.
     pub discovery_attempted: Rc<Notify>,
 }
 
 impl<P: Runtime> Serving<P> {
-    /// Accepts and serves clients until `stop` or `hand_over` completes, and then up to the end of
-    /// the graceful shutdown. `reloading` goes on until then: a list from a newly configured
-    /// discovery matters as long as requests are sent.
+    /// Accepts and serves clients until `stop` or `hand_over` completes, then shuts down gracefully. `reloading` is
+    /// polled until the end of the shutdown, because an endpoint list from a newly configured discovery is needed as
+    /// long as requests are sent.
     pub async fn run(
         self,
         reloading: impl Future<Output = ()>,
@@ -281,14 +283,14 @@
         hand_over: impl Future<Output = ()>,
     ) {
         let Serving { ingress, admin, live, listener, listener_shared, discovery_attempted } = self;
-        let (report_serving, can_serve) = oneshot::channel();
+        let (serving_sender, can_serve) = oneshot::channel();
         let mut accepting = Box::pin(accept(ingress.clone(), listener, listener_shared, can_serve));
         let mut reloading = Box::pin(reloading);
         tokio::pin!(stop, hand_over);
         let shutdown = tokio::select! {
             biased;
             () = accepting.as_mut() => Shutdown::Drain,
-            () = become_ready(&ingress, admin.as_ref(), &discovery_attempted, report_serving) => {
+            () = become_ready(&ingress, admin.as_ref(), &discovery_attempted, serving_sender) => {
                 Shutdown::Drain
             }
             () = reloading.as_mut() => Shutdown::Drain,
@@ -296,48 +298,49 @@
             () = hand_over => Shutdown::HandOver,
         };
         let shutdown = match shutdown {
-            // What connects from now on is the successor's, and would be kept from it.
+            // New connections belong to the successor, so this process must not accept them.
             Shutdown::Drain
-                if listener_shared && admin.is_some_and(|admin| admin.is_succeeded()) =>
+                if listener_shared && admin.is_some_and(|admin| admin.has_successor()) =>
             {
                 Shutdown::HandOver
             }
             shutdown => shutdown,
         };
-        let all_requests_due = live.all_requests_due(P::now());
+        let last_request_deadline = live.last_request_deadline(P::now());
         match shutdown {
             Shutdown::Drain => tokio::select! {
                 biased;
                 () = accepting => {}
                 () = reloading => {}
-                () = shutdown::drain(ingress, all_requests_due) => {}
+                () = shutdown::drain(ingress, last_request_deadline) => {}
             },
             Shutdown::HandOver => {
                 drop(accepting);
                 tokio::select! {
                     biased;
                     () = reloading => {}
-                    () = shutdown::hand_over(ingress, all_requests_due) => {}
+                    () = shutdown::hand_over(ingress, last_request_deadline) => {}
                 }
             }
         }
     }
 }
 
-/// Accepts clients; beside a predecessor, once `can_serve` says that requests can be served. Never ends.
+/// Accepts clients; never returns. With a shared listener, accepting starts once `can_serve` reports that requests can
+/// be served.
 ///
-/// While a predecessor serves on the same listener, what this process accepted before any server is
-/// known would be refused for nothing. Without one, it waits in the listener's queue.
+/// While a predecessor serves on the same listener, requests that this process accepted before any endpoint is known
+/// would be rejected needlessly. Without a predecessor, this process accepts at once.
 async fn accept<P: Runtime>(
     ingress: Rc<Ingress<P>>,
     listener: P::Listener,
-    shared: bool,
+    listener_shared: bool,
     can_serve: oneshot::Receiver<()>,
 ) {
-    if shared {
+    if listener_shared {
         tokio::select! {
             biased;
-            // The sender lives as long as the sidecar.
+            // The sender is not dropped before the sidecar ends.
             _ = can_serve => {}
             () = ingress.accepting_stopped() => {}
         }
@@ -346,13 +349,13 @@
     std::future::pending().await
 }
 
-/// Marks the ingress ready when discovery has first been attempted, and reports when servers are
-/// known; never ends.
+/// Tells the ingress that discovery has been attempted for the first time, then waits until endpoints are known and
+/// reports that on `serving_sender`. Never returns.
 async fn become_ready<P: Runtime>(
     ingress: &Ingress<P>,
     admin: Option<&Rc<Admin<P>>>,
     discovery_attempted: &Notify,
-    report_serving: oneshot::Sender<()>,
+    serving_sender: oneshot::Sender<()>,
 ) {
     discovery_attempted.notified().await;
     ingress.discovery_attempted();
@@ -362,7 +365,7 @@
     if let Some(admin) = admin {
         admin.announce_serving().await;
     }
-    // Nobody waits for it where the listener is not shared.
-    let _ = report_serving.send(());
+    // Fails if the listener is not shared, since nothing receives it then.
+    let _ = serving_sender.send(());
     std::future::pending().await
 }
--- a/src/sidecar/status.rs
+++ b/src/sidecar/status.rs
@@ -1,5 +1,4 @@
-//! The parts of a sidecar's state that no other module owns. They are shown on its listener and sent to its
-//! supervisor.
+//! The parts of a sidecar's state that no other module owns. They are reported to the supervisor and on the listener.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,34 +11,34 @@
 /// The program's version.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Configuration reloads since the start.
+/// Configuration reloads since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReloadCounts {
-    /// Applied completely.
+    /// Reloads that were applied completely.
     pub applied: u64,
-    /// Not applied, or in part only.
+    /// Reloads that were not applied, or only in part.
     pub rejected: u64,
 }
 
-/// Counters and the last rejected configuration.
+/// Counters, the last rejected configuration, and the state of discovery.
 #[derive(Default)]
 pub struct Status {
-    /// Final answers by class.
+    /// Final responses by class.
     requests: RefCell<Vec<RequestCounts>>,
     attempts: Cell<u64>,
     reloads: Cell<ReloadCounts>,
     rejected_config: RefCell<Option<RejectedConfig>>,
     oversized_lists: Cell<u64>,
-    /// Rare events, by what they are.
+    /// Counters of rare events.
     pub events: EventCounters,
-    /// The endpoint list in force, and the calls that bring it.
+    /// The current endpoint list and the calls of discovery.
     pub discovery: DiscoveryStatus,
-    /// Notified of changes that should not wait for the next report.
+    /// Notified of changes that should be reported at once.
     pub changed: Notify,
 }
 
 impl Status {
-    /// Counts a final answer to a request of a class. Classes are bounded by the settings.
+    /// Counts the final response to a request of a class. The settings limit the number of classes.
     pub fn count_request(&self, class: usize, increment: impl FnOnce(&mut RequestCounts)) {
         let mut requests = self.requests.borrow_mut();
         if requests.len() <= class {
@@ -48,7 +47,7 @@
         increment(&mut requests[class]);
     }
 
-    /// Final answers of all classes.
+    /// The final responses of all classes.
     pub fn request_counts(&self) -> RequestCounts {
         let mut sum = RequestCounts::default();
         for &counts in self.requests.borrow().iter() {
@@ -57,7 +56,7 @@
         sum
     }
 
-    /// Final answers of one class.
+    /// The final responses of one class.
     pub fn class_request_counts(&self, class: usize) -> RequestCounts {
         self.requests.borrow().get(class).copied().unwrap_or_default()
     }
@@ -67,27 +66,27 @@
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Attempts that were written completely.
+    /// The number of attempts that were written completely.
     pub fn attempts(&self) -> u64 {
         self.attempts.get()
     }
 
-    /// Counts an endpoint list that was too long, or had more servers than the limit.
+    /// Counts an endpoint list that was too long or had too many servers.
     pub fn count_oversized_list(&self) {
         self.oversized_lists.set(self.oversized_lists.get() + 1);
     }
 
-    /// Endpoint lists that were too long, or had more servers than the limit.
+    /// The number of endpoint lists that were too long or had too many servers.
     pub fn oversized_lists(&self) -> u64 {
         self.oversized_lists.get()
     }
 
-    /// Configuration reloads.
+    /// The number of configuration reloads.
     pub fn reload_counts(&self) -> ReloadCounts {
         self.reloads.get()
     }
 
-    /// Records the outcome of a reload: `None` if the configuration is in force.
+    /// Records the outcome of a reload. `rejected` is `None` if the configuration was applied.
     pub fn record_reload(&self, rejected: Option<RejectedConfig>) {
         let mut reloads = self.reloads.get();
         reloads.applied += u64::from(rejected.is_none());
@@ -97,7 +96,7 @@
         self.changed.notify_one();
     }
 
-    /// The last configuration, if it was not applied completely.
+    /// The last configuration if it was not applied completely; `None` otherwise.
     pub fn rejected_config(&self) -> Option<RejectedConfig> {
         self.rejected_config.borrow().clone()
     }
--- a/src/sidecar/timers.rs
+++ b/src/sidecar/timers.rs
@@ -1,4 +1,4 @@
-//! The balancer's timers, all of which one task waits for.
+//! The balancer's timers, all of which are driven by one task.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -9,48 +9,48 @@
 use runtime::Runtime;
 use tokio::sync::Notify;
 
-/// A timer that is seen so late tells that the process was held up.
-const HOLD_UP: Duration = Duration::from_millis(5);
+/// Lateness of a timer from which on the process is considered to have been held up.
+const HOLD_UP_THRESHOLD: Duration = Duration::from_millis(5);
 
-/// A timer: when it expires, and the balancer's token for it.
+/// A timer: its expiry time and the balancer's token.
 type Timer = (Instant, u32);
 
-/// Timers by the time at which they expire.
+/// Timers ordered by expiry time.
 ///
-/// The balancer sets a few for each request, none longer than a client waits, so their number is
-/// bounded by the requests of that time.
+/// The balancer sets a few timers for each request, none of which is longer than the client waits. Their number is
+/// therefore bounded by the number of requests in that time.
 pub struct Timers<P> {
     pending: RefCell<BinaryHeap<Reverse<Timer>>>,
     /// Notified when a timer is set that expires before all others.
-    earlier: Notify,
+    next_changed: Notify,
     platform: PhantomData<P>,
 }
 
 impl<P> Default for Timers<P> {
     fn default() -> Timers<P> {
-        Timers { pending: RefCell::default(), earlier: Notify::new(), platform: PhantomData }
+        Timers { pending: RefCell::default(), next_changed: Notify::new(), platform: PhantomData }
     }
 }
 
 impl<P: Runtime> Timers<P> {
-    /// Sets a timer.
+    /// Sets a timer that expires after `delay`.
     pub fn schedule(&self, delay: Duration, token: u32) {
         let expires_at = P::now() + delay;
         if self.next_expiry().is_none_or(|next| expires_at < next) {
-            self.earlier.notify_one();
+            self.next_changed.notify_one();
         }
         self.pending.borrow_mut().push(Reverse((expires_at, token)));
     }
 
     /// Waits for the next timer to expire, and returns its token.
     ///
-    /// After a hold-up, what arrived in its time is delivered first: an answer may be among it.
+    /// After a hold-up, the events that arrived meanwhile are delivered first, because a response may be among them.
     pub async fn next_expired(&self) -> u32 {
         loop {
             match self.next_expiry() {
-                None => self.earlier.notified().await,
+                None => self.next_changed.notified().await,
                 Some(expires_at) if expires_at <= P::now() => {
-                    if P::elapsed_since(expires_at) >= HOLD_UP {
+                    if P::elapsed_since(expires_at) >= HOLD_UP_THRESHOLD {
                         P::deliver_events().await;
                     }
                     if let Some(Reverse((_, token))) = self.pending.borrow_mut().pop() {
@@ -60,7 +60,7 @@
                 Some(expires_at) => tokio::select! {
                     biased;
                     () = P::sleep_until(expires_at) => {}
-                    () = self.earlier.notified() => {}
+                    () = self.next_changed.notified() => {}
                 },
             }
         }
