--- a/src/bin/lb-sidecar.rs
+++ b/src/bin/lb-sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar program: reads the configuration, then runs until it is told to shut down.
+//! The sidecar program: reads the configuration and runs the sidecar until it has shut down.
 #![forbid(unsafe_code)]
 
 use std::io;
@@ -17,48 +17,48 @@
 use tokio::task::LocalSet;
 
 const HELP: &str = "\
-A sidecar: takes HTTP/1.1 requests, picks a log server for each, answers each once, in time.
+Client-side load balancer: accepts HTTP/1.1 requests and forwards each to a server.
 
-usage: lb-sidecar [OPTIONS]     run, as the file that LB_CONFIG names says
-       lb-sidecar check FILE    check a configuration without starting
+usage: lb-sidecar [OPTIONS]     run with the configuration file named by LB_CONFIG
+       lb-sidecar check FILE    validate a configuration file without starting
        lb-sidecar --version     print name and version
-       lb-sidecar --help        print this
+       lb-sidecar --help        print this help
 
-options: --log-format text|json   what a line of the log looks like (or LB_LOG_FORMAT)
-         --log FILTER             a level, or levels by module (or LB_LOG); info
+options: --log-format text|json   format of log lines (or LB_LOG_FORMAT)
+         --log FILTER             log level, or levels by module (or LB_LOG); default: info
 
-signals: SIGHUP  read the configuration again
-         SIGTERM answer what was taken, then end
-         SIGUSR2 the same, leaving the listener to a successor
-status:  0 a planned end, or a sound configuration; 2 what was given cannot be used";
+signals: SIGHUP  reload the configuration
+         SIGTERM shut down gracefully: finish admitted requests, then exit
+         SIGUSR2 the same, while a successor accepts on the same listener
+status:  0 graceful shutdown or valid configuration; 2 invalid arguments, configuration or sockets";
 
-/// The signals that control the process: to shut down, to leave the listener to a successor, to reload.
+/// The signals that control the process: shut down, shut down with a successor on the listener, reload.
 const SIGNALS: [Signal; 3] = [Signal::Terminate, Signal::UserDefined2, Signal::HangUp];
-/// The status of what cannot be used: arguments, configuration, sockets.
+/// Exit status for arguments, a configuration or sockets that cannot be used.
 const EXIT_UNUSABLE: u8 = 2;
-/// The variable with the number of an inherited listener.
+/// The variable with the descriptor number of an inherited listener.
 const PASSED_SOCKET: &str = "LB_PASSED_SOCKET";
-/// The variables of the same convention as systemd has it.
+/// The variables for inherited listeners in the convention of systemd.
 const LISTEN_FDS: &str = "LISTEN_FDS";
 const LISTEN_FDS_FIRST_FD: &str = "LISTEN_FDS_FIRST_FD";
 const LISTEN_PID: &str = "LISTEN_PID";
-/// The last descriptor of the standard streams.
+/// The highest descriptor number of the standard streams.
 const LAST_STANDARD_DESCRIPTOR: u16 = 2;
 
-/// Why the program cannot run.
+/// An error because of which the program cannot run.
 #[derive(Debug, Error)]
 enum ProgramError {
-    #[error("arguments not understood: {0}; see --help")]
+    #[error("invalid arguments: {0}; see --help")]
     Arguments(String),
-    #[error("{0}: a value expected")]
+    #[error("{0}: missing value")]
     MissingValue(String),
     #[error("{0}")]
     Log(String),
-    #[error("LB_PASSED_SOCKET: a descriptor above 2 expected, not {0:?}")]
+    #[error("LB_PASSED_SOCKET: expected a descriptor above 2, got {0:?}")]
     PassedSocket(String),
-    #[error("LB_PASSED_SOCKET: this program could not be executed again: {0}")]
+    #[error("LB_PASSED_SOCKET: failed to execute this program again: {0}")]
     Execute(#[source] io::Error),
-    #[error("no runtime: {0}")]
+    #[error("failed to create the runtime: {0}")]
     Runtime(#[source] io::Error),
     #[error(transparent)]
     Signal(#[from] SignalError),
@@ -84,7 +84,7 @@
 fn execute(arguments: &[&str]) -> Result<(), ProgramError> {
     match arguments {
         [] | ["--log-format" | "--log", ..] => {
-            adopt_passed_socket(arguments)?;
+            reexec_with_passed_socket(arguments)?;
             start_log(arguments)?;
             run()
         }
@@ -98,14 +98,14 @@
         }
         ["check", file] => {
             let config = Config::check_file(file)?;
-            println!("{file}: sound, for {}", config.name);
+            println!("{file}: valid configuration of {}", config.name);
             Ok(())
         }
         _ => Err(ProgramError::Arguments(arguments.join(" "))),
     }
 }
 
-/// Starts the log as the options say.
+/// Starts logging with the given options.
 fn start_log(mut arguments: &[&str]) -> Result<(), ProgramError> {
     let (mut format, mut filter) = (None, None);
     while let [name, rest @ ..] = arguments {
@@ -129,10 +129,10 @@
     ProgramError::Log(error.to_string())
 }
 
-/// Executes this program once more where `LB_PASSED_SOCKET` gives the number of a descriptor that is the listener,
-/// with the variables of the `LISTEN_FDS` convention in its place. They can be set safely only for a new program, and
-/// tell `listenfd` which descriptor it may own.
-fn adopt_passed_socket(arguments: &[&str]) -> Result<(), ProgramError> {
+/// If `LB_PASSED_SOCKET` names the descriptor of the listener, executes this program again with the equivalent
+/// variables of the `LISTEN_FDS` convention. These tell `listenfd` which descriptor it may own, and can be set safely
+/// only for a new program.
+fn reexec_with_passed_socket(arguments: &[&str]) -> Result<(), ProgramError> {
     let Ok(number) = std::env::var(PASSED_SOCKET) else { return Ok(()) };
     if number.is_empty() || std::env::var_os(LISTEN_FDS).is_some() {
         return Ok(());
@@ -157,18 +157,21 @@
         .build()
         .map_err(ProgramError::Runtime)?;
     let entered = runtime.enter();
-    // Until they are listened for, each of these signals ends the process.
+    // Registered first, because each of these signals ends the process until it is handled.
     let signals = SignalReceiver::register(&SIGNALS)?;
     drop(entered);
     let config = Config::from_env()?;
-    // All tasks run on this thread, so every line of the log is this instance's.
+    // All tasks run on this thread, so every log line gets the name of the instance.
     let _instance = tracing::error_span!("sidecar", instance = config.name).entered();
     LocalSet::new().block_on(&runtime, async {
         let (request_reload, reload) = mpsc::channel(1);
         let (terminate, hand_over) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-        let asked =
-            Requests { terminate: terminate.clone(), hand_over: hand_over.clone(), request_reload };
-        tokio::task::spawn_local(asked.pass_on(signals));
+        let dispatcher = SignalDispatcher {
+            terminate: terminate.clone(),
+            hand_over: hand_over.clone(),
+            request_reload,
+        };
+        tokio::task::spawn_local(dispatcher.run(signals));
         let stop = async move { terminate.notified().await };
         let hand_over = async move { hand_over.notified().await };
         let control = Control { stop, hand_over, reload, read: Config::reread };
@@ -176,23 +179,23 @@
     })
 }
 
-/// Where the signals of the process go.
-struct Requests {
+/// Passes the signals of the process on to the sidecar.
+struct SignalDispatcher {
     terminate: Rc<Notify>,
     hand_over: Rc<Notify>,
     request_reload: mpsc::Sender<()>,
 }
 
-impl Requests {
-    /// Passes signals on; never ends.
-    async fn pass_on(self, mut signals: SignalReceiver) {
+impl SignalDispatcher {
+    /// Dispatches signals; never returns.
+    async fn run(self, mut signals: SignalReceiver) {
         loop {
             let signal = signals.next().await;
             tracing::info!(?signal, "signal received");
             match signal {
                 Signal::Terminate => self.terminate.notify_one(),
                 Signal::UserDefined2 => self.hand_over.notify_one(),
-                // Several that wait are one: the file is read as it is then.
+                // A full channel means that a reload is pending, which reads the latest version of the file.
                 Signal::HangUp => drop(self.request_reload.try_send(())),
                 Signal::Interrupt | Signal::Child => {}
             }
