--- a/tests/lifecycle/idle_close.rs
+++ b/tests/lifecycle/idle_close.rs
@@ -1,4 +1,4 @@
-//! Idle client connections that are closed to make room, just as their clients send on them.
+//! Idle client connections that are evicted while their clients send requests on them.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -7,14 +7,13 @@
 
 use crate::net::*;
 
-/// With 64 descriptors, more connections than six have those closed that have been idle longest.
+/// Number of connections. With 64 descriptors, the ones that have been idle longest are evicted above six.
 const CONNECTIONS: usize = 8;
-/// Longer than a used connection has to be idle before it may be evicted.
+/// Longer than the minimum idle time after which a used connection may be evicted.
 const EVICTABLE_AFTER: Duration = Duration::from_millis(200);
 const ROUNDS: usize = 5;
 
-/// Clients whose connections have served one request each. All connect first: with each one that comes
-/// later, idle ones may be evicted.
+/// Clients that each have had one request served. All connect first, because each later connection may evict idle ones.
 fn idle_clients(sidecar: &Sidecar, round: usize) -> Vec<TcpStream> {
     let mut clients: Vec<TcpStream> = (0..CONNECTIONS).map(|_| sidecar.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -27,9 +26,8 @@
     clients
 }
 
-/// The process is held up while a client connects and, after that, idle clients send requests. When it
-/// goes on, it chooses a connection for eviction before it has read what is there. Whichever comes
-/// first, a request that was read is answered.
+/// The process is held up while a client connects and idle clients send requests after that. When it continues, it
+/// selects a connection for eviction before it has read the request on it. That request must be answered all the same.
 #[test]
 fn request_read_after_its_connection_was_chosen_for_eviction_is_answered() {
     let echo = Server::echo();
@@ -52,14 +50,14 @@
         }
     }
     assert!(!sidecar.log().contains("unanswered_close"), "{unanswered:?}");
-    // All was sent before the process went on: nothing crosses a close.
+    // Everything was sent before the process continued, so no request crosses a close.
     assert_eq!(unanswered, Vec::<String>::new());
 }
 
-/// A new connection is kept at least so long for its first request.
+/// Minimum time for which a new connection is kept for its first request.
 const KEPT_UNUSED: Duration = Duration::from_millis(15);
 
-/// More clients connect at the same time than there is room for, and are about to write.
+/// More clients connect at the same time than the connection budget allows, and each sends its request at once.
 #[test]
 fn new_connection_is_not_evicted_before_its_first_request() {
     let echo = Server::echo();
--- a/tests/lifecycle/main.rs
+++ b/tests/lifecycle/main.rs
@@ -1,5 +1,5 @@
-//! The real program among scripted peers when something ends: the process, a configuration, a watch
-//! of discovery, a client or a connection. `docs/design/endings.md` lists the cases.
+//! Lifecycle tests of the real program with scripted peers: the end of a process, a configuration, a watch of
+//! discovery, a client or a connection. `docs/design/endings.md` lists the cases.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/lifecycle/reload.rs
+++ b/tests/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads that are rejected wholly or in part, and what a process starts with.
+//! Reloads that are rejected completely or in part, retries of failed reads, and the use of the stored endpoint list.
 
 use serde_json::json;
 
@@ -14,19 +14,19 @@
     config["settings"]["classes"][2]["deadline"] = 0.into();
     sidecar.replace_config(&config.to_string());
     sidecar.signal("HUP");
-    let named = "classes[2].deadline";
+    let invalid_key = "classes[2].deadline";
     until("the key is named", || {
         sidecar
             .log()
             .lines()
-            .any(|l| l.contains("failed to reload configuration") && l.contains(named))
+            .any(|l| l.contains("failed to reload configuration") && l.contains(invalid_key))
     });
     blocked.release();
     assert!(first_answer(open).ends_with("\r\n\r\nopen"));
 }
 
-/// Classes with other names and in another order, other idempotency, other tenants: of such a file
-/// only discovery is applied, and none of its names and values.
+/// A file with renamed and reordered classes, other idempotency and other tenants needs a restart. Only its `discovery`
+/// is applied, and none of its names and values.
 #[test]
 fn incompatible_config_changes_only_discovery() {
     let (old, new) = (Server::echo(), Server::echo());
@@ -44,9 +44,9 @@
     sidecar.signal("HUP");
     until("it is rejected", || sidecar.log().contains("only discovery applied"));
     let mut n = 0;
-    until("the new list is known", || {
+    until("the new list is applied", || {
         n += 1;
-        // The request names no tenant, as the old settings have none.
+        // The request names no tenant, because the old settings have none.
         let answer = sidecar.exchange(&look(&format!("look{n}")));
         assert!(answer.contains("200 OK"), "{answer:?}");
         !new.seen().is_empty()
@@ -56,9 +56,9 @@
     assert!(sidecar.exchange(&quote).starts_with("HTTP/1.1 404"));
 }
 
-/// The list that a process stored is older than the one its discovery has at the next start.
+/// The stored endpoint list is older than the list that discovery has at the next start.
 #[test]
-fn stored_server_list_is_not_used_before_discovery_responds() {
+fn stored_endpoint_list_is_not_used_before_discovery_responds() {
     let (removed, listed) = (Server::echo(), Server::echo());
     let sidecar = Sidecar::start_with(discovery(&[&listed]), |config| {
         config["known"] = json!({"seq": 41, "whole": true, "hosts": [Entry::new(removed.at, "a")]});
@@ -70,7 +70,7 @@
     assert_eq!((removed.seen().len(), listed.seen().len()), (0, 20));
 }
 
-/// A file that cannot be read for a moment is read later: nobody asks for the reload again.
+/// Reading an unreadable file is retried, because the reload is not requested again.
 #[test]
 fn config_that_cannot_be_read_at_the_signal_is_read_later() {
     let (old, new) = (Server::echo(), Server::echo());
@@ -79,13 +79,14 @@
     sidecar.remove_config();
     sidecar.signal("HUP");
     until("the failure is logged", || sidecar.log().contains("failed to reload configuration"));
-    // Whoever waits for the reload must not take it for rejected.
+    // A file that is unreadable for a moment must not be reported as rejected.
     assert_eq!(sidecar.state()["declined"], json!(null));
     sidecar.replace_config(&sidecar.config_with_discovery(&moved));
     sidecar.wait_until_reaches(&new);
 }
 
-/// Idle connections to one server must not keep the few descriptors that are left from another.
+/// After the descriptor limit was lowered, idle connections to one server must not use up the descriptors that another
+/// server needs.
 #[test]
 fn fewer_descriptors_do_not_keep_requests_from_new_servers() {
     let (blocked, other) = (BlockedServer::new(), Server::echo());
--- a/tests/lifecycle/resting_connections.rs
+++ b/tests/lifecycle/resting_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections that rest until the sidecar ends them, and requests that arrive just then.
+//! Idle client connections that time out, and requests that arrive at that moment.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -12,14 +12,14 @@
 use crate::support::*;
 
 const CONNECTIONS: usize = 60;
-/// Enough descriptors that no connection is evicted.
+/// Descriptor limit, high enough that no connection is evicted.
 const SOCKETS: usize = 512;
-/// How long a connection rests before the sidecar ends it.
+/// Idle time after which the sidecar closes a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A request that is sent so long after a look at its connection may cross the end of that.
+/// Time after a check of a connection from which on a request may cross its close.
 const CROSSING_TIME: Duration = Duration::from_millis(1);
-/// The most plays of which one has to begin its hold-up in time.
-const MOST_PLAYS: usize = 8;
+/// Maximum number of attempts, of which one has to begin its hold-up in time.
+const MAX_ATTEMPTS: usize = 8;
 
 fn start(server: &Server) -> Sidecar {
     Sidecar::start_with(discovery(&[server]), |config| {
@@ -27,12 +27,12 @@
     })
 }
 
-/// Clients that have connected at nearly the same time.
+/// Connects all clients at nearly the same time.
 fn connect_all(sidecar: &Sidecar) -> Vec<TcpStream> {
     (0..CONNECTIONS).map(|_| sidecar.connect()).collect()
 }
 
-/// Has one request served on each connection.
+/// Sends one request on each connection and reads the responses.
 fn use_once(clients: &mut [TcpStream]) {
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(look(&format!("first-{n}")).as_bytes()).expect("sent");
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether a client can see that its connection has ended.
+/// Whether the client can see that its connection has been closed.
 fn has_ended(client: &TcpStream) -> bool {
     client.set_nonblocking(true).expect("set");
     let ended = !client.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
@@ -51,40 +51,44 @@
     ended
 }
 
-/// When the time of some connections runs out: of the first, and of the last.
-type Due = RangeInclusive<Instant>;
+/// The time range in which connections time out.
+type TimeoutRange = RangeInclusive<Instant>;
 
-/// When the time of connections runs out whose rest begins while `use_connections` runs, and what that returns.
-fn due_after<T>(use_connections: impl FnOnce() -> T) -> (Due, T) {
+/// The time range in which connections time out that become idle during `use_connections`, and its result.
+fn timeout_range<T>(use_connections: impl FnOnce() -> T) -> (TimeoutRange, T) {
     let first = Instant::now() + IDLE_TIMEOUT;
-    let used = use_connections();
-    (first..=Instant::now() + IDLE_TIMEOUT, used)
+    let result = use_connections();
+    (first..=Instant::now() + IDLE_TIMEOUT, result)
 }
 
-/// Runs `meanwhile` while the sidecar is held up around `due`, and lets it go on afterwards.
-fn during_hold_up<T>(sidecar: &Sidecar, due: Due, meanwhile: impl FnOnce() -> T) -> T {
-    thread::sleep((*due.start() - HOLD_UP / 2).saturating_duration_since(Instant::now()));
+/// Holds the sidecar up around `timeouts`, runs `meanwhile` during the hold-up, and lets the sidecar continue.
+fn during_hold_up<T>(
+    sidecar: &Sidecar,
+    timeouts: TimeoutRange,
+    meanwhile: impl FnOnce() -> T,
+) -> T {
+    thread::sleep((*timeouts.start() - HOLD_UP / 2).saturating_duration_since(Instant::now()));
     let hold_up = HoldUp::begin(sidecar);
-    let done = meanwhile();
-    thread::sleep((*due.end() + HOLD_UP / 2).saturating_duration_since(Instant::now()));
+    let result = meanwhile();
+    thread::sleep((*timeouts.end() + HOLD_UP / 2).saturating_duration_since(Instant::now()));
     drop(hold_up);
-    done
+    result
 }
 
-/// What a play shows whose hold-up began before the sidecar's timeouts: on a busy machine some begin too late, and
-/// show nothing.
-fn played_in_time<T>(play: impl Fn() -> Option<T>) -> T {
-    (0..MOST_PLAYS).find_map(|_| play()).expect("a hold-up that begins in time")
+/// Repeats `attempt` until its hold-up begins before the sidecar's timeouts, and returns its result. On a busy machine
+/// some hold-ups begin too late, and their attempts prove nothing.
+fn retry_until_in_time<T>(attempt: impl Fn() -> Option<T>) -> T {
+    (0..MAX_ATTEMPTS).find_map(|_| attempt()).expect("a hold-up that begins in time")
 }
 
-/// Holds the sidecar up while the time of all connections runs out, has each of them send a request
-/// meanwhile, and returns those requests that got no answer; none if the hold-up began too late.
+/// Holds the sidecar up while all connections time out, sends a request on each of them meanwhile, and returns the
+/// requests without a response; `None` if the hold-up began too late.
 fn unanswered_after_hold_up(
     sidecar: &Sidecar,
     clients: Vec<TcpStream>,
-    due: Due,
+    timeouts: TimeoutRange,
 ) -> Option<Vec<String>> {
-    let mut sent = during_hold_up(sidecar, due, || {
+    let mut sent = during_hold_up(sidecar, timeouts, || {
         let in_time = !clients.iter().any(has_ended);
         in_time.then(|| clients.into_iter().enumerate().map(send_second).collect::<Vec<_>>())
     })?;
@@ -94,7 +98,7 @@
     Some(sent.into_iter().map(|(id, _)| id).collect())
 }
 
-/// Sends a request on a connection; its id, and the connection.
+/// Sends a second request on a connection, and returns its id and the connection.
 fn send_second((n, mut client): (usize, TcpStream)) -> (String, TcpStream) {
     let id = format!("second-{n}");
     client.write_all(look(&id).as_bytes()).expect("sent");
@@ -105,10 +109,10 @@
 fn request_sent_as_its_idle_connection_times_out_is_answered() {
     let echo = Server::echo();
     let sidecar = start(&echo);
-    let unanswered = played_in_time(|| {
+    let unanswered = retry_until_in_time(|| {
         let mut clients = connect_all(&sidecar);
-        let (due, ()) = due_after(|| use_once(&mut clients));
-        unanswered_after_hold_up(&sidecar, clients, due)
+        let (timeouts, ()) = timeout_range(|| use_once(&mut clients));
+        unanswered_after_hold_up(&sidecar, clients, timeouts)
     });
     assert_eq!(unanswered, Vec::<String>::new(), "{}", sidecar.log());
 }
@@ -117,49 +121,50 @@
 fn first_request_sent_as_its_connection_times_out_is_answered() {
     let echo = Server::echo();
     let sidecar = start(&echo);
-    let unanswered = played_in_time(|| {
-        let (due, clients) = due_after(|| connect_all(&sidecar));
-        unanswered_after_hold_up(&sidecar, clients, due)
+    let unanswered = retry_until_in_time(|| {
+        let (timeouts, clients) = timeout_range(|| connect_all(&sidecar));
+        unanswered_after_hold_up(&sidecar, clients, timeouts)
     });
     assert_eq!(unanswered, Vec::<String>::new(), "{}", sidecar.log());
 }
 
-/// A new connection on which this was sent.
+/// Opens a connection and sends `text` on it.
 fn connect_and_send(sidecar: &Sidecar, text: &str) -> TcpStream {
     let mut client = sidecar.connect();
     client.write_all(text.as_bytes()).expect("sent");
     client
 }
 
-/// The answer to a request whose rest is sent in a hold-up as its time runs out; none if the hold-up began too late.
-fn answer_of_rest(
+/// Sends the rest of a request in a hold-up while its connection times out, and returns the response; `None` if the
+/// hold-up began too late.
+fn answer_to_rest(
     sidecar: &Sidecar,
     mut client: TcpStream,
     rest: &str,
-    due: Due,
+    timeouts: TimeoutRange,
 ) -> Option<String> {
-    during_hold_up(sidecar, due, || {
+    during_hold_up(sidecar, timeouts, || {
         let in_time = !has_ended(&client);
         in_time.then(|| client.write_all(rest.as_bytes()).expect("sent"))
     })?;
     Some(first_answer(client))
 }
 
-/// The request is complete before its time runs out, though the sidecar reads it later.
+/// The request is complete before the timeout, but the sidecar reads the rest of it later.
 #[test]
 fn request_completed_as_its_time_runs_out_is_served() {
     let echo = Server::echo();
     let sidecar = start(&echo);
     let complete = order("pieces");
     let (first, second) = complete.split_at(complete.len() - 1);
-    let answer = played_in_time(|| {
-        let (due, client) = due_after(|| connect_and_send(&sidecar, first));
-        answer_of_rest(&sidecar, client, second, due)
+    let answer = retry_until_in_time(|| {
+        let (timeouts, client) = timeout_range(|| connect_and_send(&sidecar, first));
+        answer_to_rest(&sidecar, client, second, timeouts)
     });
     assert!(answer.ends_with("\r\n\r\npieces"), "{answer:?}");
 }
 
-/// The same of a body that is sent on while it is received.
+/// The same for a long body that is streamed to the server.
 #[test]
 fn upload_continued_as_its_time_runs_out_is_served() {
     let echo = Server::echo();
@@ -170,24 +175,24 @@
          Content-Length: {length}\r\n\r\n"
     );
     let first = head + &"x".repeat(length - rest);
-    let answer = played_in_time(|| {
-        let (due, client) = due_after(|| connect_and_send(&sidecar, &first));
-        answer_of_rest(&sidecar, client, &"x".repeat(rest), due)
+    let answer = retry_until_in_time(|| {
+        let (timeouts, client) = timeout_range(|| connect_and_send(&sidecar, &first));
+        answer_to_rest(&sidecar, client, &"x".repeat(rest), timeouts)
     });
     assert!(answer.ends_with("\r\n\r\nlong"), "{answer:?} {}", sidecar.log());
 }
 
-/// Whoever has sent a part of a request may be sending the rest just then.
+/// The client of a partial request may be sending the rest when its connection is evicted, so it must get a response.
 #[test]
 fn partial_request_whose_connection_is_evicted_is_answered() {
     let echo = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&echo]));
     let half = &order("half")[..40];
-    // More than the sidecar has room for.
+    // More connections than the connection budget allows.
     let clients: Vec<TcpStream> = (0..CONNECTIONS)
         .map(|_| {
             let mut client = sidecar.connect();
-            // It may have been rejected by now.
+            // The connection may have been evicted already.
             let _ = client.write_all(half.as_bytes());
             client
         })
@@ -199,25 +204,26 @@
     }
 }
 
-/// What became of a request that is sent so long after its connection's time runs out; none if that had ended, or may
-/// have ended just as the request was sent.
+/// Sends a request on an idle connection `after` its timeout, and returns the response; `None` if the connection had
+/// been closed, or may have been closed while the request was sent.
 fn answer_at_the_end(sidecar: &Sidecar, n: usize, after: Duration) -> Option<String> {
     let mut client = sidecar.connect();
     client.write_all(look(&format!("first-{n}")).as_bytes()).expect("sent");
     let first = first_answer(client.try_clone().expect("a second handle"));
     assert!(first.ends_with(&format!("first-{n}")), "{first:?}");
     thread::sleep(IDLE_TIMEOUT + after);
-    let looked_at = Instant::now();
+    let checked_at = Instant::now();
     let is_sent = !has_ended(&client)
         && client.write_all(look(&format!("second-{n}")).as_bytes()).is_ok()
-        && looked_at.elapsed() < CROSSING_TIME;
+        && checked_at.elapsed() < CROSSING_TIME;
     is_sent.then(|| first_answer(client))
 }
 
-/// They arrive while the process is held up behind the events that it has taken, in the turn that ends their connection.
+/// The requests arrive while the process is held up after it has fetched its events, in the iteration of the event loop
+/// that closes their connection.
 #[test]
 fn requests_that_arrive_behind_the_last_events_before_a_close_are_answered() {
-    /// By then, hold-ups and all, most connections have ended.
+    /// Delay after which most connections have been closed despite hold-ups.
     const LONGEST_DELAY: Duration = Duration::from_millis(800);
     let server = Server::echo();
     let rates = FaultRates { seed: 1, wait: 300, ..FaultRates::default() };
@@ -228,13 +234,13 @@
         config["limits"]["sockets"] = SOCKETS.into();
     });
     let answers: Vec<_> = thread::scope(|scope| {
-        let play = |n: usize| {
+        let start = |n: usize| {
             let after = LONGEST_DELAY * n as u32 / CONNECTIONS as u32;
             let sidecar = &sidecar;
             scope.spawn(move || (n, answer_at_the_end(sidecar, n, after)))
         };
-        let plays: Vec<_> = (0..CONNECTIONS).map(play).collect();
-        plays.into_iter().map(|play| play.join().expect("no panic")).collect()
+        let threads: Vec<_> = (0..CONNECTIONS).map(start).collect();
+        threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
     });
     let answered = answers.iter().filter(|(_, answer)| answer.is_some()).count();
     let is_lost = |n: &usize, answer: &Option<String>| {
--- a/tests/lifecycle/shutdown.rs
+++ b/tests/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown after SIGTERM.
+//! Tests of the graceful shutdown after SIGTERM.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -20,7 +20,7 @@
     (0..3).for_each(|class| set_times(&mut config, class, 50, 100));
     apply_config(&sidecar, &config);
     begin_shutdown(&sidecar);
-    // Longer than anything may take after the signal by the new deadlines.
+    // Longer than a shutdown takes with the new deadlines.
     thread::sleep(Duration::from_millis(1500));
     blocked.release();
     let answer = first_answer(open);
@@ -43,8 +43,7 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// Requests continue to arrive on connections that stay open. Here one arrives so late that its own
-/// time is longer than the process has.
+/// A request arrives on an open connection so late that its own time is longer than that of the process.
 #[test]
 fn late_request_is_answered_before_the_process_exits() {
     let blocked = BlockedServer::new();
@@ -53,10 +52,10 @@
     });
     let first = blocked.receives_order(&sidecar, "first");
     begin_shutdown(&sidecar);
-    // All requests admitted by now are due within 4 s, and the process exits 0.7 s later.
+    // The requests admitted so far have a deadline of 4 s, and the process exits 0.7 s after that.
     thread::sleep(Duration::from_millis(900));
     let late = blocked.receives_order(&sidecar, "late");
-    // Its server is told so: 0.9 s of the 4 s and 0.7 s have passed.
+    // The server gets the remaining time of the process: 4.7 s minus the 0.9 s that have passed.
     let heads = blocked.server.heads();
     let time_left = header(heads.last().expect("the late one"), "x-time-left-ms");
     let time_left: u64 = time_left.and_then(|t| t.parse().ok()).expect("a time");
@@ -67,7 +66,7 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// The time of an upload runs from its last byte, which here arrives late.
+/// The time of an upload runs from its last byte, which arrives late here.
 #[test]
 fn upload_completed_late_is_answered_before_the_process_exits() {
     let blocked = BlockedServer::new();
@@ -90,15 +89,15 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// The system has all of the response, and the client does not yet. A process that exits then loses
-/// the rest if the client sends anything more.
+/// The response is in the send buffer of the system, and the client has not read all of it. If the process exited then,
+/// the rest would be lost as soon as the client sends more input.
 #[test]
 fn response_being_sent_outlives_the_process() {
     let long = "x".repeat(200_000);
     let body = long.clone();
     let blocked = BlockedServer::with(move |_| answer(&body));
     let mut sidecar = Sidecar::start(discovery(&[&blocked.server]));
-    // A client with a small receive buffer: nearly all of the response stays with the sidecar's system.
+    // The client has a small receive buffer, so nearly all of the response stays in the sidecar's send buffer.
     let small = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     small.set_recv_buffer_size(4096).expect("set");
     small.connect(&sidecar.at.into()).expect("connected");
@@ -107,7 +106,7 @@
     open.write_all(order("open").as_bytes()).expect("sent");
     assert_eq!(blocked.next_request(), "open");
     begin_shutdown(&sidecar);
-    // From then on a process without requests in progress exits at once.
+    // After this time a process without requests in progress exits at once.
     thread::sleep(Duration::from_millis(800));
     blocked.release();
     open.peek(&mut [0]).expect("it begins");
@@ -130,7 +129,7 @@
     begin_shutdown(&sidecar);
     thread::sleep(Duration::from_millis(800));
     let mut n = 0;
-    // A machine may be slow; the program checks every 10 ms.
+    // Repeated because the machine may be slow and the program checks every 10 ms.
     until("one that sends its request after a while is answered", || {
         n += 1;
         let mut late = sidecar.connect();
@@ -143,8 +142,8 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// A request that is incomplete at the signal is not lost without a word: it is answered once it is
-/// complete, or the connection is closed and no server has seen it.
+/// A request that is incomplete at the signal is either answered once it is complete, or its connection is closed and
+/// no server has received it.
 #[test]
 fn partial_request_at_shutdown_is_answered_or_never_sent() {
     let blocked = BlockedServer::new();
@@ -154,7 +153,7 @@
     let mut client = sidecar.connect();
     client.write_all(first.as_bytes()).expect("sent");
     sidecar.signal("TERM");
-    // On a very slow machine it is closed by now, and this fails.
+    // Fails on a very slow machine, where the connection has been closed already.
     let _ = client.write_all(second.as_bytes());
     client.set_nonblocking(true).expect("set");
     let mut sent = false;
@@ -164,7 +163,7 @@
     });
     client.set_nonblocking(false).expect("set");
     if sent {
-        // From then on a process without requests in progress exits at once.
+        // After this time a process without requests in progress exits at once.
         thread::sleep(Duration::from_millis(800));
     }
     blocked.release();
@@ -174,7 +173,7 @@
     assert_eq!(blocked.server.seen().is_empty(), !sent);
 }
 
-/// Whoever has sent a part of a request may be sending the rest just then.
+/// The client of a partial request may be sending the rest when its connection is closed, so it must get a response.
 #[test]
 fn partial_request_is_rejected_when_the_shutdown_waits_no_longer() {
     let echo = Server::echo();
@@ -187,10 +186,10 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// When requests that arrived by then are no longer waited for.
-const ADMISSION_END: Duration = Duration::from_millis(650);
+/// Time from the signal after which incomplete requests are no longer admitted.
+const ADMISSION_PERIOD: Duration = Duration::from_millis(650);
 
-/// The system accepts connections for a process that is held up. What is sent on them is taken on.
+/// The system queues connections for a process that is held up. Requests sent on them have to be served.
 #[test]
 fn request_in_the_listeners_queue_as_the_process_exits_is_answered() {
     for round in 0..5 {
@@ -199,7 +198,7 @@
         let signal = Instant::now();
         sidecar.signal("TERM");
         thread::sleep(
-            (signal + ADMISSION_END - HOLD_UP / 2).saturating_duration_since(Instant::now()),
+            (signal + ADMISSION_PERIOD - HOLD_UP / 2).saturating_duration_since(Instant::now()),
         );
         let hold_up = HoldUp::begin(&sidecar);
         let mut clients: Vec<TcpStream> = (0..8).map(|_| sidecar.connect()).collect();
@@ -216,7 +215,7 @@
     }
 }
 
-/// Clients connect up to the end of a process that has to wait for a hung server.
+/// Clients keep connecting until the exit of a process that waits for a hung server.
 #[test]
 fn request_on_a_connection_made_as_the_process_ends_is_answered() {
     let blocked = BlockedServer::new();
@@ -234,7 +233,7 @@
                 let Ok(mut client) = TcpStream::connect(at) else { break };
                 client.set_read_timeout(Some(PATIENCE)).expect("a time");
                 let id = format!("{number}-{n}");
-                // Where this fails, the connection had ended before all was written.
+                // If writing fails, the connection was closed before the whole request was sent.
                 if client.write_all(order(&id).as_bytes()).is_ok() && read_to_end(client).is_empty()
                 {
                     unanswered.push(id);
@@ -251,7 +250,8 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// The earliest kill is the longest deadline and 0.7 s after the signal, and the process is held up before it.
+/// The process is killed at the earliest allowed time, which is the longest deadline and 0.7 s after the signal, and is
+/// held up before that.
 #[test]
 fn open_request_is_answered_though_the_process_is_held_up_before_it_is_killed() {
     let blocked = BlockedServer::new();
@@ -272,9 +272,9 @@
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer:?}");
 }
 
-/// The log of a process that is held up beyond its exit while a request arrives; none if the machine was too slow for
-/// that. The hold-up is longer than any that has to be borne.
-fn log_of_exit_in_a_hold_up() -> Option<String> {
+/// Returns the log of a process that is held up beyond its exit time while a request arrives; `None` if the machine was
+/// too slow for that. The hold-up is longer than any that the process has to tolerate.
+fn log_of_exit_during_hold_up() -> Option<String> {
     let blocked = BlockedServer::new();
     let mut sidecar = Sidecar::start_with(discovery(&[&blocked.server]), |config| {
         (0..3).for_each(|class| set_times(config, class, 1000, 1000));
@@ -286,7 +286,7 @@
         let at = signal + Duration::from_millis(ms);
         thread::sleep(at.saturating_duration_since(Instant::now()));
     };
-    // The listener is closed 1.395 s after the signal, the process ends 0.3 s later.
+    // The listener is closed 1.395 s after the signal, and the process exits 0.3 s later.
     wait_until(1300);
     let mut late = TcpStream::connect(sidecar.at).ok()?;
     late.set_read_timeout(Some(PATIENCE)).expect("a time");
@@ -304,7 +304,7 @@
 
 #[test]
 fn request_that_is_unanswered_as_its_process_exits_is_logged() {
-    let log = (0..5).find_map(|_| log_of_exit_in_a_hold_up()).expect("an unanswered request");
+    let log = (0..5).find_map(|_| log_of_exit_during_hold_up()).expect("an unanswered request");
     let has = |parts: &[&str]| log.lines().any(|line| parts.iter().all(|part| line.contains(part)));
     assert!(has(&["process ends before all is answered"]), "{log}");
     let reason = "\"reason\":\"draining\"";
--- a/tests/lifecycle/support.rs
+++ b/tests/lifecycle/support.rs
@@ -1,4 +1,4 @@
-//! Servers and configuration changes that the tests of a sidecar's life share.
+//! Servers, configuration changes and hold-ups shared by the lifecycle tests.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -19,20 +19,20 @@
 }
 
 impl BlockedServer {
-    /// One that responds with the request's id.
+    /// Starts a server that responds with the id of the request.
     pub fn new() -> BlockedServer {
         BlockedServer::with(answer)
     }
 
-    /// One that responds with the text that `text` makes of the request's id.
-    pub fn with(text: impl Fn(&str) -> String + Send + Sync + 'static) -> BlockedServer {
-        let (receive, received) = mpsc::channel();
-        let (receive, released) = (Mutex::new(receive), Arc::new(AtomicBool::new(false)));
+    /// Starts a server that responds with the result of `response` for the id of the request.
+    pub fn with(response: impl Fn(&str) -> String + Send + Sync + 'static) -> BlockedServer {
+        let (sender, received) = mpsc::channel();
+        let (sender, released) = (Mutex::new(sender), Arc::new(AtomicBool::new(false)));
         let is_released = released.clone();
         let server = Server::start(move |id, socket| {
-            let _ = receive.lock().expect("no panic").send(id.to_owned());
+            let _ = sender.lock().expect("no panic").send(id.to_owned());
             until("the test releases the server", || is_released.load(Ordering::Relaxed));
-            socket.write_all(text(id).as_bytes()).is_ok()
+            socket.write_all(response(id).as_bytes()).is_ok()
         });
         BlockedServer { server, received, released }
     }
@@ -42,7 +42,7 @@
         self.received.recv_timeout(PATIENCE).expect("a request is sent")
     }
 
-    /// Has an order of this id sent here, and returns its client.
+    /// Sends an order with this id through the sidecar, waits until the server has received it, and returns its client.
     pub fn receives_order(&self, sidecar: &Sidecar, id: &str) -> TcpStream {
         let mut client = sidecar.connect();
         client.write_all(order(id).as_bytes()).expect("sent");
@@ -50,13 +50,13 @@
         client
     }
 
-    /// From now on the server responds.
+    /// Lets the server respond from now on.
     pub fn release(&self) {
         self.released.store(true, Ordering::Relaxed);
     }
 }
 
-/// Asks for a graceful shutdown, and waits until it has begun.
+/// Requests a graceful shutdown and waits until it has begun.
 pub fn begin_shutdown(sidecar: &Sidecar) {
     sidecar.signal("TERM");
     until("it drains", || sidecar.state()["draining"] == true);
@@ -68,23 +68,23 @@
     config["settings"]["classes"][class]["deadline"] = (deadline * 1000).into();
 }
 
-/// Has a configuration reloaded, and waits until it is in force.
+/// Reloads a configuration and waits until it is applied.
 pub fn apply_config(sidecar: &Sidecar, config: &Value) {
     let applied = || sidecar.log().matches("configuration applied").count();
     let before = applied();
     sidecar.replace_config(&config.to_string());
     sidecar.signal("HUP");
-    until("the configuration is in force", || applied() > before);
+    until("the configuration is applied", || applied() > before);
 }
 
-/// For how long a process is held up in tests: a little less than the longest time that it may be.
+/// Duration of a hold-up in tests, a little less than the longest one that the process has to tolerate.
 pub const HOLD_UP: Duration = Duration::from_millis(110);
 
-/// A sidecar that is stopped, until this is dropped.
+/// Holds a sidecar up with SIGSTOP until it is dropped.
 pub struct HoldUp<'a>(&'a Sidecar);
 
 impl HoldUp<'_> {
-    /// Stops it.
+    /// Stops the sidecar.
     pub fn begin(sidecar: &Sidecar) -> HoldUp<'_> {
         sidecar.signal("STOP");
         HoldUp(sidecar)
--- a/tests/lifecycle/system_calls.rs
+++ b/tests/lifecycle/system_calls.rs
@@ -1,4 +1,5 @@
-//! System calls that fail as their manual pages allow, through a library that is loaded into the program.
+//! Tests with system calls that fail in ways allowed by their manual pages. A library that is loaded into the program
+//! injects the failures.
 
 use std::collections::{BTreeSet, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -25,7 +26,7 @@
     })
 }
 
-/// A figure of the operators' call `show-events`.
+/// Reads a counter with the admin command `show-events`.
 fn event_count(sidecar: &Sidecar, name: &str) -> u64 {
     let mut socket = TcpStream::connect(sidecar.admin()).expect("connected");
     socket.set_read_timeout(Some(PATIENCE)).expect("a time");
@@ -36,8 +37,8 @@
     line.and_then(|count| count.parse().ok()).unwrap_or_else(|| panic!("no {name} in {all:?}"))
 }
 
-/// Sends so many requests one after the other, each on the connection of the one before; those that got
-/// no answer. A connection that is closed between two requests is replaced.
+/// Sends requests one after another on one connection and returns those that got no response. A connection that is
+/// closed between two requests is replaced.
 fn unanswered(sidecar: &Sidecar, requests: usize, name: &str) -> Vec<String> {
     let mut unanswered = Vec::new();
     let mut client: Option<BufReader<TcpStream>> = None;
@@ -58,7 +59,7 @@
     unanswered
 }
 
-/// A call that a signal interrupts has done nothing, and is to be made again.
+/// A call that is interrupted by a signal has had no effect and must be repeated.
 #[test]
 fn interrupted_calls_lose_no_request() {
     let echo = Server::echo();
@@ -67,9 +68,10 @@
     assert_eq!(unanswered(&sidecar, 300, "request"), Vec::<String>::new());
 }
 
-/// A client that aborted its connection takes nothing that idle ones could give back.
+/// An accept that fails because the client aborted the connection is no resource shortage, so idle connections must not
+/// be evicted for it.
 #[test]
-fn aborted_connections_evict_nobody() {
+fn aborted_connections_evict_no_others() {
     let echo = Server::echo();
     let rates = FaultRates { seed: 2, aborted: 300, ..FaultRates::default() };
     let sidecar = start(discovery(&[&echo]), rates, None);
@@ -86,7 +88,7 @@
     assert_eq!(event_count(&sidecar, "closed.evicted"), 0);
 }
 
-/// A signal is told to the event loop through a pipe, and calls on that are interrupted as well.
+/// The event loop learns of signals through a pipe, and calls on that pipe are interrupted as well.
 #[test]
 fn signals_are_not_lost_to_interrupted_calls() {
     let echo = Server::echo();
@@ -100,7 +102,7 @@
     assert!(status.success(), "{status}: {}", sidecar.log());
 }
 
-/// What another process of this sidecar has stored is read once that is possible, though reading fails at first.
+/// State that another process of this sidecar has stored is read as soon as possible if reading fails at first.
 #[test]
 fn stored_state_is_read_although_reading_fails_for_a_while() {
     let echo = Server::echo();
@@ -117,16 +119,17 @@
         let new = path.with_extension("other");
         std::fs::write(&new, json!({"drained": drained}).to_string()).expect("written");
         std::fs::rename(&new, &path).expect("in place");
-        until("the state is in force", || {
+        until("the state is applied", || {
             sidecar.exchange("GET /health/ready HTTP/1.1\r\n\r\n").contains("503") == drained
         });
     }
 }
 
-/// The path of the state file of the sidecar whose directory this is, once it has stored that it serves.
+/// Waits until the sidecar has announced in its state file in `directory` that it serves, and returns the path of the
+/// file.
 fn state_file(directory: &Path) -> PathBuf {
     let mut path = None;
-    until("the sidecar has stored that it serves", || {
+    until("the sidecar has announced that it serves", || {
         let entries = std::fs::read_dir(directory).expect("a directory").flatten();
         let files = entries.map(|entry| entry.path());
         let has_state = |path: &PathBuf| {
@@ -139,7 +142,7 @@
     path.expect("found")
 }
 
-/// The share of requests that a server gets while it warms up, if it joins when the sidecar's wall clock is ahead.
+/// The share of requests that a joining server gets in slow start while the sidecar's wall clock is ahead.
 fn share_of_joining_server(seconds_ahead: i64) -> f64 {
     let (old, new): (Vec<_>, Server) = ((0..4).map(|_| Server::echo()).collect(), Server::echo());
     let registry = discovery(&old.iter().collect::<Vec<_>>());
@@ -160,25 +163,27 @@
 fn joining_server_warms_up_with_a_wall_clock_that_is_wrong() {
     for seconds_ahead in [0, 3600, -3600] {
         let share = share_of_joining_server(seconds_ahead);
-        // A fifth of the servers, at a fifth of its capacity; the settings allow three times that.
+        // It is one of five servers, with a fifth of its capacity. The settings allow three times that share.
         assert!(share < 0.12, "{share} with the clock {seconds_ahead} s ahead");
     }
 }
 
-/// Bytes of an order that a server leaves unread as it resets its connection, and the length of the order's body.
+/// Numbers of bytes of an order that a server leaves unread when it resets the connection.
 const UNREAD_BYTES: [usize; 6] = [0, 1, 2, 100, 5_000, 20_000];
+/// The length of the body of an order.
 const ORDER_BYTES: usize = 20_000;
 
-/// How often each order was received in full, by its id.
-type Executions = Arc<Mutex<HashMap<String, usize>>>;
+/// Counts of orders by id.
+type OrderCounts = Arc<Mutex<HashMap<String, usize>>>;
 
-/// How many bytes of the first copy of this order are left unread.
+/// Number of bytes of the first copy of this order that the server leaves unread.
 fn unread_bytes(id: &str) -> usize {
     let number: usize = id.trim_start_matches("order").parse().expect("the number of an order");
     UNREAD_BYTES[number % UNREAD_BYTES.len()]
 }
 
-/// Receives an order of which `unread` bytes are left in the socket; its id.
+/// Receives an order except the last `unread` bytes, which stay in the socket. Returns its id and the number of unread
+/// bytes; `None` if the connection has ended.
 fn receive_order(
     reader: &mut impl BufRead,
     mut unread: impl FnMut(&str) -> usize,
@@ -195,20 +200,21 @@
     Some((id, left))
 }
 
-/// Resets the connection of each order's first copy around its last byte, and serves the others.
-fn resetting_server(executions: Executions, firsts: Executions) -> Server {
+/// Starts a server that resets the connection around the last byte of the first copy of each order, and serves all
+/// other copies. `executions` counts the completely received copies, `copies` all copies.
+fn resetting_server(executions: OrderCounts, copies: OrderCounts) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut server = Server::echo();
     server.at = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for mut socket in listener.incoming().flatten() {
-            let (executions, firsts) = (executions.clone(), firsts.clone());
+            let (executions, copies) = (executions.clone(), copies.clone());
             std::thread::spawn(move || {
                 let is_first = |id: &str| {
-                    let mut firsts = firsts.lock().expect("no panic");
-                    let copies = firsts.entry(id.to_owned()).or_default();
-                    *copies += 1;
-                    *copies == 1
+                    let mut copies = copies.lock().expect("no panic");
+                    let count = copies.entry(id.to_owned()).or_default();
+                    *count += 1;
+                    *count == 1
                 };
                 let mut reset = false;
                 let mut reader = BufReader::with_capacity(1, socket.try_clone().expect("a handle"));
@@ -231,12 +237,12 @@
     server
 }
 
-/// Short writes leave the last byte of a request to a write of its own.
+/// Short writes cause the last byte of a request to be written separately.
 #[test]
 fn order_whose_connection_is_reset_around_its_last_byte_is_executed_once() {
-    let (executions, firsts) = (Executions::default(), Executions::default());
+    let (executions, copies) = (OrderCounts::default(), OrderCounts::default());
     let servers: Vec<Server> =
-        (0..6).map(|_| resetting_server(executions.clone(), firsts.clone())).collect();
+        (0..6).map(|_| resetting_server(executions.clone(), copies.clone())).collect();
     let rates = FaultRates { seed: 5, interrupted: 50, short: 300, ..FaultRates::default() };
     let sidecar = start(discovery(&servers.iter().collect::<Vec<_>>()), rates, None);
     let body = format!("Content-Length: {ORDER_BYTES}\r\n\r\n{}", "x".repeat(ORDER_BYTES));
@@ -249,14 +255,14 @@
         assert!(executed <= 1, "{id} was executed {executed} times: {answer:?}");
         assert!(executed == 0 || !rejected, "{id} was executed, and {answer:?}");
     }
-    let firsts = firsts.lock().expect("no panic");
-    let met: BTreeSet<usize> = firsts.keys().map(|id| unread_bytes(id)).collect();
-    assert_eq!(met, BTreeSet::from(UNREAD_BYTES), "resets that were met");
+    let copies = copies.lock().expect("no panic");
+    let covered: BTreeSet<usize> = copies.keys().map(|id| unread_bytes(id)).collect();
+    assert_eq!(covered, BTreeSet::from(UNREAD_BYTES), "resets that occurred");
 }
 
-/// A process without buffers for a moment reads and writes again.
+/// Reads and writes that fail because the system has no buffers for a moment must be repeated.
 #[test]
-fn requests_are_answered_though_reads_and_writes_fail_for_want_of_buffers() {
+fn requests_are_answered_although_reads_and_writes_fail_for_lack_of_buffers() {
     let server = Server::echo();
     let rates = FaultRates { seed: 11, memory: 20, ..FaultRates::default() };
     let sidecar = start(discovery(&[&server]), rates, None);
@@ -264,26 +270,28 @@
     assert_eq!(unanswered, Vec::<String>::new());
 }
 
-/// A client that has had an answer on its connection.
-fn resting_client(sidecar: &Sidecar) -> TcpStream {
+/// A client that has had a response and keeps its connection idle.
+fn idle_client(sidecar: &Sidecar) -> TcpStream {
     let mut client = sidecar.connect();
     client.write_all(look("first").as_bytes()).expect("sent");
     assert!(first_answer(client.try_clone().expect("a handle")).ends_with("first"));
     client
 }
 
-/// The look at its socket finds nothing, the request arrives, and the connection is shut down.
+/// The sidecar checks the socket of an idle connection and finds no input, then the request arrives, then the sidecar
+/// shuts the connection down.
 #[test]
 fn request_that_arrives_between_the_look_at_its_connection_and_the_close_is_answered() {
+    /// Duration of the hold-up that the library injects between the check and the shutdown.
     const HOLD: Duration = Duration::from_millis(100);
     let server = Server::echo();
     let rates = FaultRates { seed: 1, hold: 1000, ..FaultRates::default() };
     let sidecar = start(discovery(&[&server]), rates, None);
-    let first = resting_client(&sidecar);
+    let first = idle_client(&sidecar);
     let since = Instant::now();
     assert_eq!(read_to_end(first), "");
     let closed_after = since.elapsed();
-    let mut second = resting_client(&sidecar);
+    let mut second = idle_client(&sidecar);
     thread::sleep(closed_after - HOLD / 2);
     second.write_all(look("second").as_bytes()).expect("sent");
     let answer = first_answer(second);
