--- a/src/bin/lb-sidecar.rs
+++ b/src/bin/lb-sidecar.rs
@@ -45,7 +45,7 @@
 /// The highest descriptor number of the standard streams.
 const LAST_STANDARD_DESCRIPTOR: u16 = 2;
 
-/// An error because of which the program cannot run.
+/// Error returned when the program cannot run.
 #[derive(Debug, Error)]
 enum ProgramError {
     #[error("invalid arguments: {0}; see --help")]
--- a/src/sidecar/admin/command.rs
+++ b/src/sidecar/admin/command.rs
@@ -25,7 +25,7 @@
     Resume,
 }
 
-/// An error because of which a line is not a command.
+/// Error returned when a line is not a command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     /// The line is empty.
--- a/src/sidecar/admin/connection.rs
+++ b/src/sidecar/admin/connection.rs
@@ -8,7 +8,7 @@
 /// Maximum length of a command line, in bytes.
 const MAX_LINE_BYTES: usize = 512;
 
-/// An error because of which no complete line was received.
+/// Error returned when no complete line was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
     /// The connection was closed before the end of the line. An incomplete line is not executed: `disable-server s-1`
@@ -18,7 +18,7 @@
     /// The line is not UTF-8.
     #[error("the line is not UTF-8")]
     NotText,
-    /// The line is longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than the maximum length.
     #[error("the line is too long")]
     TooLong,
     /// Reading failed.
--- a/src/sidecar/admin/response.rs
+++ b/src/sidecar/admin/response.rs
@@ -13,7 +13,7 @@
 use crate::sidecar::discovery_status::DiscoverySnapshot;
 use crate::sidecar::events::EventCount;
 
-/// An error because of which a command was not executed.
+/// Error returned when a command was not executed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// No command was received.
--- a/src/sidecar/admin/state.rs
+++ b/src/sidecar/admin/state.rs
@@ -25,7 +25,7 @@
     pub serving_process: Option<u64>,
 }
 
-/// An error because of which a command does not change the state.
+/// Error returned when a command cannot change the state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
     /// The endpoint list contains no server with this name.
--- a/src/sidecar/admin/state_file.rs
+++ b/src/sidecar/admin/state_file.rs
@@ -27,7 +27,7 @@
 /// Maximum size of the file, in bytes. It suffices for the maximum number of disabled servers with names of 100 bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// An error because of which the file cannot be used, or its content was not changed.
+/// Error returned when the file cannot be used, or its content was not changed.
 #[derive(Debug, Error)]
 pub enum StateFileError {
     /// The file, or one of those next to it, cannot be read or written.
--- a/src/sidecar/config/error.rs
+++ b/src/sidecar/config/error.rs
@@ -8,7 +8,7 @@
 use super::ROUND_INTERVALS_MS;
 use crate::settings::SettingsError;
 
-/// An error because of which a configuration cannot be used.
+/// Error in a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
--- a/src/sidecar/ingress/mod.rs
+++ b/src/sidecar/ingress/mod.rs
@@ -199,7 +199,7 @@
         self.driver.fail_open_requests();
     }
 
-    /// Closes the connections on which no request is in progress or likely to be under way.
+    /// Closes the connections on which no request is in progress or likely to arrive.
     pub fn close_idle(&self, scope: CloseScope) {
         for connection in self.connections.borrow().values() {
             let closes = match connection.phase() {
--- a/src/sidecar/ingress/request.rs
+++ b/src/sidecar/ingress/request.rs
@@ -34,7 +34,7 @@
 /// The cookie with the affinity key of a request.
 const KEY_COOKIE: &str = "k";
 
-/// Errors because of which a request gets no reply from the driver.
+/// Error returned when a request gets no reply from the driver.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     /// The request is invalid or cannot be served. The client gets a response with this status.
--- a/src/sidecar/inherited_listener.rs
+++ b/src/sidecar/inherited_listener.rs
@@ -9,7 +9,7 @@
 /// Maximum number of connections that wait to be accepted. Bursts of clients connect within a second.
 pub const LISTEN_BACKLOG: i32 = 4096;
 
-/// An error because of which an inherited listener cannot be used.
+/// Error returned when an inherited listener cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
     /// More than one socket was passed.
--- a/src/sidecar/reload.rs
+++ b/src/sidecar/reload.rs
@@ -39,7 +39,7 @@
     pub restart_only: Value,
 }
 
-/// An error because of which a reload was not applied, or only in part.
+/// Error returned when a reload was not applied, or only in part.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The configuration is invalid. Nothing was applied.
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -8,14 +8,15 @@
 
 use super::ingress::{CloseScope, DRAIN_PROPAGATION_DELAY, Ingress};
 
-/// Delay from the signal until idle connections may be closed. New connections arrive for up to 0.4 s after the signal.
+/// Minimum delay from the signal until idle connections are closed. New connections arrive for up to 0.4 s after the
+/// signal.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 /// Time without a new connection after which no more are expected.
 const QUIET_PERIOD: Duration = Duration::from_millis(100);
 /// Time from the signal after which an incomplete request is no longer admitted, since it might not be served in time.
-/// The process is killed at the earliest 0.7 s and the longest deadline after the signal.
+/// The process is killed no earlier than 0.7 s plus the longest deadline after the signal.
 const ADMISSION_PERIOD: Duration = Duration::from_millis(650);
-/// Time from the signal, in addition to the longest deadline, after which the process exits.
+/// Time from the signal, in addition to the longest deadline, after which the process exits: just less than the 0.7 s.
 const EXIT_GRACE_PERIOD: Duration = Duration::from_millis(695);
 /// Time before the exit at which open requests are failed: the process may be held up for 0.15 s and killed right after
 /// that.
--- a/src/sidecar/startup.rs
+++ b/src/sidecar/startup.rs
@@ -31,7 +31,7 @@
 /// Interval at which a starting sidecar checks whether endpoints are known.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An error because of which a sidecar cannot start.
+/// Error returned when a sidecar cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The inherited listener cannot be used.
@@ -330,7 +330,7 @@
 /// be served.
 ///
 /// While a predecessor serves on the same listener, requests that this process accepted before any endpoint is known
-/// would be rejected needlessly. Without a predecessor, this process accepts at once.
+/// would be rejected needlessly. If no predecessor is left, connections wait in the listener's queue meanwhile.
 async fn accept<P: Runtime>(
     ingress: Rc<Ingress<P>>,
     listener: P::Listener,
