--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -37,7 +37,7 @@
         false
     }
     /// Whether nothing must have arrived, and the peer not have closed, when the next bytes are written.
-    fn requires_silence(&self) -> bool {
+    fn requires_idle_socket(&self) -> bool {
         false
     }
     /// These bytes were accepted by the system.
@@ -69,7 +69,7 @@
 impl<S: Tcp, O: Observer> Stream<S, O> {
     /// Asks the system itself, just before a write: what has arrived may not have been told yet.
     fn check_silence(&self) -> io::Result<()> {
-        if self.observer.requires_silence() && !self.socket.is_idle() {
+        if self.observer.requires_idle_socket() && !self.socket.is_idle() {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
                 "something arrived before anything was written",
--- a/crates/runtime/tests/stream.rs
+++ b/crates/runtime/tests/stream.rs
@@ -17,7 +17,7 @@
 }
 
 impl Observer for Silence {
-    fn requires_silence(&self) -> bool {
+    fn requires_idle_socket(&self) -> bool {
         self.is_required
     }
 }
--- a/src/sidecar/upstream/observer.rs
+++ b/src/sidecar/upstream/observer.rs
@@ -284,7 +284,7 @@
         Ok(())
     }
 
-    fn requires_silence(&self) -> bool {
+    fn requires_idle_socket(&self) -> bool {
         self.request.phase.get() == RequestPhase::Begun
     }
 
