--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,10 +1,10 @@
-//! The clock, tasks and sockets that network code needs, behind one trait.
+//! A trait for the clock, tasks and sockets that network code uses, with an implementation for tokio.
 //!
 //! Code that is generic over [`Runtime`] runs unchanged on the real system ([`TokioRuntime`]) and on a
-//! simulated one with a clock and a network of its own. The choice is made at compile time, so the
-//! real program pays nothing for it. Times are [`Instant`](std::time::Instant)s and
-//! [`Duration`](std::time::Duration)s in both; a simulated clock counts from one real instant that was
-//! read once.
+//! simulated one with its own clock and network. The implementation is selected at compile time, so it
+//! adds no overhead at run time. Both use [`Instant`](std::time::Instant)s and
+//! [`Duration`](std::time::Duration)s; a simulated clock adds virtual time to a real instant that is
+//! read once at its start.
 
 mod lingering_close;
 mod runtime;
--- a/crates/runtime/src/lingering_close.rs
+++ b/crates/runtime/src/lingering_close.rs
@@ -1,4 +1,4 @@
-//! Closing a connection without a reset that destroys bytes the peer has not read yet.
+//! Closes a connection without a reset, which would discard bytes that the peer has not read yet.
 
 use std::io;
 use std::task::Poll;
@@ -6,13 +6,13 @@
 
 use crate::{Runtime, Tcp, timeout};
 
-/// How much is read and discarded at once, in bytes.
-const DISCARD_BUFFER: usize = 4096;
+/// The size of the buffer that input is discarded into, in bytes.
+const DISCARD_BUFFER_SIZE: usize = 4096;
 
-/// Shuts down the sending direction, then reads and discards what still arrives: for `time_limit` and
-/// `byte_limit` bytes at most, or until the peer closes. The caller closes the socket afterwards.
+/// Shuts down the sending direction, then reads and discards input until the peer closes, `time_limit` has
+/// passed or `byte_limit` bytes have been read. The caller closes the socket afterwards.
 ///
-/// Closing a socket on which unread bytes wait (the next request, the rest of one that was answered
+/// Closing a socket with unread input (the next request, or the rest of a request that was answered
 /// early) resets the connection, and the reset discards what the peer has not read yet.
 pub async fn lingering_close<R: Runtime>(socket: &R::Tcp, time_limit: Duration, byte_limit: usize) {
     socket.shutdown_write();
@@ -20,7 +20,7 @@
 }
 
 async fn discard_input<T: Tcp>(socket: &T, byte_limit: usize) {
-    let mut buf = [0; DISCARD_BUFFER];
+    let mut buf = [0; DISCARD_BUFFER_SIZE];
     let mut remaining = byte_limit;
     loop {
         match socket.try_read(&mut buf) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Lets the other tasks that are ready run before the current one goes on.
+/// Yields to the other ready tasks once.
 async fn yield_now() {
     let mut yielded = false;
     std::future::poll_fn(|cx| {
--- a/crates/runtime/src/runtime.rs
+++ b/crates/runtime/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The [`Runtime`] trait: clock, tasks and outgoing connections.
+//! The [`Runtime`] trait, which provides the clock, tasks and outgoing connections.
 
 use std::future::Future;
 use std::io;
@@ -7,11 +7,11 @@
 
 use crate::{Listener, Tcp, Udp};
 
-/// The system as network code sees it.
+/// The system interface of network code.
 ///
-/// All tasks of a runtime run on one thread, so nothing here has to be [`Send`].
+/// All tasks of a runtime run on one thread, so futures and sockets need not be [`Send`].
 pub trait Runtime: 'static {
-    /// A future that completes at a given time.
+    /// A future that completes at a deadline.
     type Sleep: Future<Output = ()>;
     /// The handle of a spawned task.
     type TaskHandle: TaskHandle;
@@ -22,30 +22,31 @@
     /// A bound UDP socket.
     type Udp: Udp;
 
-    /// The current time of a monotonic clock.
+    /// Returns the current time of a monotonic clock.
     fn now() -> Instant;
-    /// The time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     fn unix_time() -> Duration;
-    /// Completes at `deadline`, or at once if that has passed.
+    /// Returns a future that completes at `deadline`, or at once if that has passed.
     fn sleep_until(deadline: Instant) -> Self::Sleep;
-    /// Completes once the tasks that wait for sockets have been told of what arrived there by now, and
-    /// have run.
+    /// Completes after the tasks that wait for sockets have been woken for all input that has arrived by
+    /// now, and have run.
     ///
-    /// A timer may be seen before input that arrived earlier: whoever gives something up because its time
-    /// is over awaits this first, and then looks again. [`expiry`](crate::expiry) does so.
+    /// A timer may fire before the event loop reports input that arrived earlier. Code that fails an
+    /// operation at its deadline awaits this first and then checks for a result once more, as
+    /// [`expiry`](crate::expiry) does.
     fn deliver_events() -> impl Future<Output = ()>;
-    /// Runs a task on the current thread, beside the others. It keeps running when its handle is dropped.
+    /// Spawns a task on the current thread. It keeps running when its handle is dropped.
     fn spawn(task: impl Future<Output = ()> + 'static) -> Self::TaskHandle;
     /// Opens a TCP connection.
     ///
-    /// The future fails with the system's error, such as [`io::ErrorKind::ConnectionRefused`].
+    /// The future resolves to the system's error on failure, such as [`io::ErrorKind::ConnectionRefused`].
     fn connect(to: SocketAddr) -> impl Future<Output = io::Result<Self::Tcp>>;
 
-    /// Completes after `duration`.
+    /// Returns a future that completes after `duration`.
     fn sleep(duration: Duration) -> Self::Sleep {
         Self::sleep_until(Self::now() + duration)
     }
-    /// The time that has passed since `earlier`; zero if that lies in the future.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is in the future.
     fn elapsed_since(earlier: Instant) -> Duration {
         Self::now().saturating_duration_since(earlier)
     }
@@ -53,6 +54,6 @@
 
 /// The handle of a spawned task.
 pub trait TaskHandle: 'static {
-    /// Cancels the task, at the latest when it is polled next. Everything it owns is dropped.
+    /// Cancels the task. Its future is dropped when it would be polled next, or earlier.
     fn abort(&self);
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals of the process.
+//! Receives signals of the process.
 //!
-//! A signal sets a flag and wakes the event loop through a pipe. The pipe may fail as any other descriptor may: a
-//! write that is interrupted in the handler loses the wake-up, though not the flag, so the flags are looked at now
-//! and then as well.
+//! The signal handler sets a flag and wakes the event loop through a pipe. If its write to the pipe fails (it may be
+//! interrupted, for example), the wake-up is lost but the flag stays set, so the flags are also polled at
+//! [`FLAG_POLL_INTERVAL`].
 
 use std::fmt;
 use std::io;
@@ -15,12 +15,12 @@
 use signal_hook::{flag, low_level::pipe};
 use tokio::net::UnixStream;
 
-/// The time within which a signal is noticed whose wake-up was lost.
+/// The time between two checks of the flags, which bounds the delay of a signal whose wake-up was lost.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How many wake-ups are read at once.
-const WAKE_UP_BUFFER: usize = 64;
+/// The number of wake-ups read from the pipe at once; each is one byte.
+const WAKE_UP_BUFFER_SIZE: usize = 64;
 
-/// A signal that can be listened for.
+/// A signal that a [`SignalReceiver`] can receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM.
@@ -57,12 +57,12 @@
     }
 }
 
-/// A signal cannot be listened for.
+/// A signal handler or its pipe could not be set up.
 #[derive(Debug)]
 pub struct SignalError {
-    /// What the error is about.
+    /// The name of the signal, or of the pipe.
     name: &'static str,
-    /// What the system says.
+    /// The system's error.
     source: io::Error,
 }
 
@@ -78,28 +78,28 @@
     }
 }
 
-/// Receives signals. Until they are listened for, most of them end the process.
+/// Receives signals. Before a signal is registered, its default action applies, which is to end the process for most.
 pub struct SignalReceiver {
     received: Vec<(Signal, Arc<AtomicBool>)>,
     wake_ups: UnixStream,
 }
 
 impl SignalReceiver {
-    /// Listens for these signals, for the rest of the life of the process. To be called within a tokio runtime. If
-    /// several have come, they are reported in this order.
+    /// Installs handlers for these signals, which stay for the rest of the life of the process. Signals that are
+    /// pending together are reported in the order of `signals`. Must be called within a tokio runtime.
     ///
     /// # Errors
     ///
-    /// The signal that cannot be listened for.
+    /// Returns the signal whose handler could not be installed, or the error of the pipe.
     pub fn register(signals: &[Signal]) -> Result<SignalReceiver, SignalError> {
-        let pipe_error = |source| SignalError { name: "pipe of signals", source };
+        let pipe_error = |source| SignalError { name: "signal pipe", source };
         let (reader, writer) = StdUnixStream::pair().map_err(pipe_error)?;
         reader.set_nonblocking(true).map_err(pipe_error)?;
         let received: Vec<_> =
             signals.iter().map(|&signal| (signal, Arc::new(AtomicBool::new(false)))).collect();
         for (signal, flag) in &received {
             let error = |source| SignalError { name: signal.name(), source };
-            // The flag is set before the wake-up is written: actions run in the order of their registration.
+            // Actions run in the order of their registration, so the flag is set before the wake-up is written.
             flag::register(signal.number(), flag.clone()).map_err(error)?;
             let writer = writer.try_clone().map_err(error)?;
             pipe::register(signal.number(), writer).map_err(error)?;
@@ -108,7 +108,7 @@
         Ok(SignalReceiver { received, wake_ups })
     }
 
-    /// The next signal. Several of one kind that have come since the last call are one.
+    /// Waits for the next signal. Several signals of one kind since the last call are reported once.
     pub async fn next(&mut self) -> Signal {
         loop {
             if let Some(signal) = self.take_received() {
@@ -127,15 +127,15 @@
         received.find(|(_, flag)| flag.swap(false, Ordering::SeqCst)).map(|(signal, _)| *signal)
     }
 
-    /// Empties the pipe. Where that fails, the flags tell what has come.
+    /// Empties the pipe. Errors are ignored, because the flags hold the received signals.
     async fn discard_wake_ups(&self, readable: bool) {
-        let mut buffer = [0; WAKE_UP_BUFFER];
+        let mut buffer = [0; WAKE_UP_BUFFER_SIZE];
         loop {
             match self.wake_ups.try_read(&mut buffer) {
                 Ok(read) if read > 0 && readable => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // The pipe has ended or is broken, and would be readable for ever.
+                // A closed or broken pipe stays readable forever; sleeping avoids a busy loop.
                 _ => return tokio::time::sleep(FLAG_POLL_INTERVAL).await,
             }
         }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -1,4 +1,4 @@
-//! Traits of the sockets that a [`Runtime`](crate::Runtime) provides.
+//! Traits for the sockets of a [`Runtime`](crate::Runtime).
 
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -9,22 +9,22 @@
 
 /// A TCP connection.
 ///
-/// Reads and writes never block: an operation that cannot be done now fails with
-/// [`io::ErrorKind::WouldBlock`], and one that the system has no buffers or memory for with
-/// [`io::ErrorKind::OutOfMemory`]: it has done nothing, and can be done later. One that a signal interrupts is
-/// repeated, and never fails with [`io::ErrorKind::Interrupted`].
+/// Reads and writes never block: an operation that cannot be done now fails with [`io::ErrorKind::WouldBlock`], and
+/// one for which the system lacks buffers or memory fails with [`io::ErrorKind::OutOfMemory`]. Both have no effect and
+/// can be retried later. An operation that a signal interrupts is retried internally and never fails with
+/// [`io::ErrorKind::Interrupted`].
 pub trait Tcp: 'static {
-    /// Waits until there is something to read: bytes, the end of the stream or an error.
+    /// Waits until the socket is readable: it has bytes, the end of the stream or an error.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Waits until something can be written.
+    /// Waits until the socket is writable.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Appends the available bytes to `buf` and returns their number; 0 at the end of the stream.
+    /// Appends available bytes to `buf` and returns their number, or 0 at the end of the stream.
     ///
     /// # Errors
     ///
     /// [`io::ErrorKind::WouldBlock`], or the system's error.
     fn try_read_buf(&self, buf: &mut ReadBuf<'_>) -> io::Result<usize>;
-    /// Reads the available bytes and returns their number; 0 at the end of the stream.
+    /// Reads available bytes into `buf` and returns their number, or 0 at the end of the stream.
     ///
     /// # Errors
     ///
@@ -38,43 +38,44 @@
     ///
     /// [`io::ErrorKind::WouldBlock`], or the system's error.
     fn try_write(&self, buf: &[u8]) -> io::Result<usize>;
-    /// The same as [`try_write`](Tcp::try_write) from several buffers.
+    /// Like [`try_write`](Tcp::try_write), but writes from several buffers.
     ///
     /// # Errors
     ///
     /// [`io::ErrorKind::WouldBlock`], or the system's error.
     fn try_write_vectored(&self, bufs: &[IoSlice<'_>]) -> io::Result<usize>;
-    /// Sets `TCP_NODELAY`: small writes are sent at once.
+    /// Sets `TCP_NODELAY`, so that small writes are sent at once.
     ///
     /// # Errors
     ///
     /// The system's error, which means that the connection is no longer usable.
     fn set_nodelay(&self) -> io::Result<()>;
-    /// Shuts down the sending direction. Does nothing if the connection is gone already.
+    /// Shuts down the sending direction. Has no effect if the connection is already closed.
     fn shutdown_write(&self);
-    /// Makes closing the socket reset the connection.
+    /// Configures the socket so that closing it resets the connection.
     fn reset_on_close(&self);
-    /// Whether the connection is open and there is nothing to read: no bytes, no end, no error.
+    /// Returns whether the connection is open and has nothing to read: no bytes, no end of the stream, no error.
     fn is_idle(&self) -> bool;
-    /// Whether bytes have arrived that were not read, asked of the system itself rather than the event queue.
+    /// Returns whether unread bytes have arrived. Queries the system rather than the readiness of the event loop.
     fn has_unread(&self) -> bool;
-    /// Whether the peer is known to send nothing more, even if some of its bytes are still unread.
+    /// Returns whether the peer is known to send nothing more, even if some of its bytes are still unread.
     fn peer_closed(&self) -> bool;
 }
 
 /// A listening TCP socket.
 pub trait Listener: 'static {
-    /// The connections that it accepts.
+    /// The type of accepted connections.
     type Tcp;
-    /// The next connection and the peer's address. Dropping the future loses no connection.
+    /// Accepts the next connection and returns it with the peer's address. Cancel safe: dropping the future loses no
+    /// connection.
     fn accept(&self) -> impl Future<Output = io::Result<(Self::Tcp, SocketAddr)>>;
-    /// A connection that waits in the queue, asked of the system itself rather than the event queue.
+    /// Accepts a connection from the backlog. Queries the system rather than the readiness of the event loop.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::WouldBlock`] if none waits, or the system's error.
+    /// [`io::ErrorKind::WouldBlock`] if the backlog is empty, or the system's error.
     fn try_accept(&self) -> io::Result<Self::Tcp>;
-    /// The address that it is bound to.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
     ///
@@ -84,9 +85,9 @@
 
 /// A bound UDP socket.
 pub trait Udp: 'static {
-    /// Receives a datagram: its length and its sender. Bytes that do not fit into `buf` are lost.
+    /// Receives a datagram and returns its length and sender. Bytes that do not fit into `buf` are discarded.
     fn recv_from(&self, buf: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
-    /// Sends a datagram, or drops it, and returns its length.
+    /// Sends a datagram and returns its length. The datagram may be dropped without an error.
     ///
     /// # Errors
     ///
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -1,8 +1,8 @@
-//! The layer between a protocol library and a socket.
+//! A stream between a protocol library and a socket, which reports the traffic to an observer.
 //!
-//! It sees every byte in both directions, and so knows what hyper does not report: whether the last
-//! byte of a request was written, how far a client has come with its request, and when everything that
-//! was to be written has been written.
+//! The observer sees every byte in both directions, and so learns what hyper does not report: whether the
+//! last byte of a request was written, how much of its request a client has sent, and when all pending
+//! output has been written.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -13,39 +13,39 @@
 
 use crate::Tcp;
 
-/// Is notified of a socket's traffic, and may hold back writes.
+/// Observes the traffic of a socket, and may delay its writes.
 ///
-/// Every method has a default that observes nothing.
+/// The default methods observe nothing and restrict nothing.
 pub trait Observer {
-    /// These bytes were read; none at the end of the stream.
+    /// Called with the bytes of each read; `bytes` is empty at the end of the stream.
     ///
     /// # Errors
     ///
-    /// An error ends the connection, and the protocol library never sees the bytes.
+    /// An error ends the connection, and the protocol library does not receive the bytes.
     fn on_read(&self, _bytes: &[u8]) -> io::Result<()> {
         Ok(())
     }
-    /// Everything that has arrived was read; the protocol library waits for more.
+    /// Called when all input that has arrived was read and the protocol library waits for more.
     fn on_read_pending(&self) {}
-    /// How many of these bytes may be written now. While it is pending nothing is written.
+    /// Returns how many of `bytes` may be written now. Nothing is written while this is pending.
     fn poll_write_allowance(&self, bytes: &[u8], _cx: &mut Context<'_>) -> Poll<usize> {
         Poll::Ready(bytes.len())
     }
-    /// Whether [`poll_write_allowance`](Observer::poll_write_allowance) has to be asked before vectored
-    /// writes.
+    /// Returns whether [`poll_write_allowance`](Observer::poll_write_allowance) also applies to vectored
+    /// writes, which are then done one buffer at a time.
     fn limits_writes(&self) -> bool {
         false
     }
-    /// Whether nothing must have arrived, and the peer not have closed, when the next bytes are written.
+    /// Returns whether the next write must fail if input has arrived or the peer has closed.
     fn requires_idle_socket(&self) -> bool {
         false
     }
-    /// These bytes were accepted by the system.
+    /// Called with the bytes that the system accepted for sending.
     fn on_write(&self, _bytes: &[u8]) {}
-    /// The protocol library has nothing left to write.
+    /// Called when the protocol library has nothing left to write.
     fn on_flush(&self) {}
-    /// Whether the protocol library may shut down the sending direction; `false` if the owner of the
-    /// socket still has something to send.
+    /// Returns whether the protocol library may shut down the sending direction. `false` if the owner of
+    /// the socket still has something to send.
     fn may_shutdown(&self) -> bool {
         true
     }
@@ -53,26 +53,27 @@
 
 /// A socket whose traffic is reported to an [`Observer`].
 ///
-/// The socket is shared: its owner can inspect it while the protocol library uses it.
+/// The socket is shared, so that its owner can inspect it while the protocol library uses it.
 pub struct Stream<S, O> {
     socket: Rc<S>,
     observer: Rc<O>,
 }
 
 impl<S, O> Stream<S, O> {
-    /// Reports the traffic of `socket` to `observer`.
+    /// Creates a stream that reports the traffic of `socket` to `observer`.
     pub fn new(socket: Rc<S>, observer: Rc<O>) -> Stream<S, O> {
         Stream { socket, observer }
     }
 }
 
 impl<S: Tcp, O: Observer> Stream<S, O> {
-    /// Asks the system itself, just before a write: what has arrived may not have been told yet.
-    fn check_silence(&self) -> io::Result<()> {
+    /// Fails if the observer requires an idle socket and the socket is not idle. Queries the system, because the event
+    /// loop may not have reported the latest input yet.
+    fn check_idle(&self) -> io::Result<()> {
         if self.observer.requires_idle_socket() && !self.socket.is_idle() {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "something arrived before anything was written",
+                "input arrived before the write",
             ));
         }
         Ok(())
@@ -97,15 +98,15 @@
             match self.socket.try_read_buf(buf) {
                 Ok(_) => return Poll::Ready(self.observer.on_read(&buf.filled()[before..])),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return next_turn(cx),
+                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return poll_again_later(cx),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 }
 
-/// Has the task polled again in the event loop's next turn.
-fn next_turn<T>(cx: &Context<'_>) -> Poll<T> {
+/// Returns `Pending` and schedules the task to be polled again in the next iteration of the event loop.
+fn poll_again_later<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
@@ -119,14 +120,14 @@
         let allowed = ready!(self.observer.poll_write_allowance(buf, cx));
         loop {
             ready!(self.socket.poll_write_ready(cx))?;
-            self.check_silence()?;
+            self.check_idle()?;
             match self.socket.try_write(&buf[..allowed]) {
                 Ok(n) => {
                     self.observer.on_write(&buf[..n]);
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return next_turn(cx),
+                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return poll_again_later(cx),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -143,7 +144,7 @@
         }
         loop {
             ready!(self.socket.poll_write_ready(cx))?;
-            self.check_silence()?;
+            self.check_idle()?;
             match self.socket.try_write_vectored(bufs) {
                 Ok(n) => {
                     let mut remaining = n;
@@ -155,7 +156,7 @@
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return next_turn(cx),
+                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return poll_again_later(cx),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -178,5 +179,5 @@
     }
 }
 
-/// Observes nothing.
+/// An observer that ignores all traffic.
 impl Observer for () {}
--- a/crates/runtime/src/timeout.rs
+++ b/crates/runtime/src/timeout.rs
@@ -1,4 +1,4 @@
-//! Time limits for futures.
+//! Timeouts for futures.
 
 use std::fmt;
 use std::future::Future;
@@ -6,32 +6,32 @@
 
 use crate::Runtime;
 
-/// The error of a future that did not complete within its time limit.
+/// The error of a future that did not complete before its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
 impl fmt::Display for Elapsed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the time has run out")
+        f.write_str("deadline has elapsed")
     }
 }
 
 impl std::error::Error for Elapsed {}
 
-/// Completes at `deadline`, after everything that had arrived by then was delivered.
+/// Completes at `deadline`, after all events that had arrived by then were delivered.
 ///
-/// To be polled behind what it limits: that has then seen whatever came in time, also where the process
-/// was held up or the event loop's turn was long.
+/// Must be polled after the future that it limits. That future then sees all input that arrived before the
+/// deadline, even if the process was held up or an iteration of the event loop took long.
 pub async fn expiry<R: Runtime>(deadline: Instant) {
     R::sleep_until(deadline).await;
     R::deliver_events().await;
 }
 
-/// Runs `future` until `deadline` at the latest. What had arrived by then counts.
+/// Runs `future` until `deadline` at the latest. Input that had arrived by the deadline is still processed.
 ///
 /// # Errors
 ///
-/// [`Elapsed`] if it has not completed by then.
+/// [`Elapsed`] if the future has not completed by then.
 pub async fn timeout_at<R: Runtime, F: Future>(
     deadline: Instant,
     future: F,
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// [`Elapsed`] if it has not completed within that time.
+/// [`Elapsed`] if the future has not completed within that time.
 pub async fn timeout<R: Runtime, F: Future>(
     duration: Duration,
     future: F,
--- a/crates/runtime/src/tokio_runtime.rs
+++ b/crates/runtime/src/tokio_runtime.rs
@@ -1,4 +1,4 @@
-//! The real system, through tokio.
+//! The implementation of [`Runtime`] with tokio.
 
 use std::future::Future;
 use std::io::{self, ErrorKind, IoSlice};
@@ -16,11 +16,11 @@
 
 use crate::{Listener, Runtime, TaskHandle, Tcp, Udp};
 
-/// How many turns of the event loop what has arrived takes to whom it concerns: a response's head and body
-/// pass between the task of its connection and the one that waits for it.
-const DELIVERY_TURNS: usize = 3;
+/// The iterations of the event loop after which input has reached the task that waits for it: the head and body of a
+/// response pass from the task of the connection to the task that waits for the response.
+const DELIVERY_ITERATIONS: usize = 3;
 
-/// The real system, through tokio. Tasks are spawned on the current [`tokio::task::LocalSet`].
+/// The real system, accessed through tokio. Tasks are spawned on the current [`tokio::task::LocalSet`].
 pub enum TokioRuntime {}
 
 impl Runtime for TokioRuntime {
@@ -43,8 +43,8 @@
     }
 
     async fn deliver_events() {
-        for _ in 0..DELIVERY_TURNS {
-            // Continues after the event loop has polled the sockets.
+        for _ in 0..DELIVERY_ITERATIONS {
+            // Resumes after the event loop has polled the sockets.
             tokio::task::yield_now().await;
         }
     }
@@ -79,15 +79,15 @@
     }
 
     fn try_read_buf(&self, mut buf: &mut ReadBuf<'_>) -> io::Result<usize> {
-        repeat_interrupted(|| TcpStream::try_read_buf(self, &mut buf)).map_err(shortage)
+        retry_interrupted(|| TcpStream::try_read_buf(self, &mut buf)).map_err(map_no_buffers)
     }
 
     fn try_write(&self, buf: &[u8]) -> io::Result<usize> {
-        repeat_interrupted(|| TcpStream::try_write(self, buf)).map_err(shortage)
+        retry_interrupted(|| TcpStream::try_write(self, buf)).map_err(map_no_buffers)
     }
 
     fn try_write_vectored(&self, bufs: &[IoSlice<'_>]) -> io::Result<usize> {
-        repeat_interrupted(|| TcpStream::try_write_vectored(self, bufs)).map_err(shortage)
+        retry_interrupted(|| TcpStream::try_write_vectored(self, bufs)).map_err(map_no_buffers)
     }
 
     fn set_nodelay(&self) -> io::Result<()> {
@@ -116,7 +116,8 @@
         if matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed()) {
             return true;
         }
-        // An end that the event queue has not reported yet shows in the socket, unless unread bytes precede it.
+        // Peeking also finds an end of the stream that the event loop has not reported yet, unless unread bytes
+        // precede it.
         match peek(self) {
             Ok(n) => n == 0,
             Err(e) => e.kind() != ErrorKind::WouldBlock,
@@ -124,20 +125,20 @@
     }
 }
 
-/// How many bytes wait to be read: one at the most, 0 at the end of the stream.
+/// Peeks at the receive buffer. Returns 1 if it holds any bytes, and 0 at the end of the stream.
 fn peek(socket: &TcpStream) -> io::Result<usize> {
     let mut byte = [MaybeUninit::uninit()];
-    repeat_interrupted(|| SockRef::from(socket).peek(&mut byte))
+    retry_interrupted(|| SockRef::from(socket).peek(&mut byte))
 }
 
-/// The error of a call, with one kind for all that is wanting: buffers or memory.
-fn shortage(error: io::Error) -> io::Error {
+/// Maps ENOBUFS to [`ErrorKind::OutOfMemory`], so that a lack of buffers and a lack of memory have the same kind.
+fn map_no_buffers(error: io::Error) -> io::Error {
     let is_without_buffers = error.raw_os_error() == Some(Errno::NOBUFS.raw_os_error());
     if is_without_buffers { ErrorKind::OutOfMemory.into() } else { error }
 }
 
-/// Makes a call again for as long as a signal interrupts it: such a call has done nothing.
-fn repeat_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a system call for as long as it fails with EINTR. An interrupted call has had no effect.
+fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -159,7 +160,7 @@
     }
 
     fn try_accept(&self) -> io::Result<TcpStream> {
-        let (socket, _) = repeat_interrupted(|| SockRef::from(self).accept())?;
+        let (socket, _) = retry_interrupted(|| SockRef::from(self).accept())?;
         socket.set_nonblocking(true)?;
         TcpStream::from_std(socket.into())
     }
@@ -180,6 +181,6 @@
     }
 
     fn try_send_to(&self, data: &[u8], to: SocketAddr) -> io::Result<usize> {
-        repeat_interrupted(|| UdpSocket::try_send_to(self, data, to))
+        retry_interrupted(|| UdpSocket::try_send_to(self, data, to))
     }
 }
--- a/crates/runtime/tests/stream.rs
+++ b/crates/runtime/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Writes on sockets on which something has arrived that the protocol library has not seen.
+//! Tests of writes to a socket that has input which the protocol library has not read.
 
 use std::io;
 use std::rc::Rc;
@@ -9,44 +9,44 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// How long something that is not to arrive is waited for.
-const SILENCE: Duration = Duration::from_millis(100);
+/// The time after which bytes that have not arrived count as not sent.
+const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-struct Silence {
+struct IdleRequirement {
     is_required: bool,
 }
 
-impl Observer for Silence {
+impl Observer for IdleRequirement {
     fn requires_idle_socket(&self) -> bool {
         self.is_required
     }
 }
 
-/// Writes to a socket whose peer has sent something that nobody has read. Returns the result, and what the peer got.
+/// Writes to a socket with unread input. Returns the result of the write, and the bytes that the peer received.
 async fn write_after_unread_bytes(is_required: bool) -> (io::Result<()>, Vec<u8>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let at = listener.local_addr().expect("an address");
-    let socket = Rc::new(TcpStream::connect(at).await.expect("connected"));
+    let address = listener.local_addr().expect("an address");
+    let socket = Rc::new(TcpStream::connect(address).await.expect("connected"));
     let (mut peer, _) = listener.accept().await.expect("accepted");
     peer.write_all(b"early").await.expect("sent");
     socket.readable().await.expect("it arrives");
-    let mut stream = Stream::new(socket, Rc::new(Silence { is_required }));
+    let mut stream = Stream::new(socket, Rc::new(IdleRequirement { is_required }));
     let written = stream.write_all(b"request").await;
     let mut received = vec![0; 16];
-    let read = timeout(SILENCE, peer.read(&mut received)).await;
+    let read = timeout(READ_TIMEOUT, peer.read(&mut received)).await;
     received.truncate(read.map_or(0, |read| read.expect("the connection is open")));
     (written, received)
 }
 
 #[tokio::test]
-async fn request_is_not_written_once_something_has_arrived() {
+async fn request_is_not_written_once_input_has_arrived() {
     let (written, received) = write_after_unread_bytes(true).await;
     assert_eq!(written.expect_err("refused").kind(), io::ErrorKind::InvalidData);
     assert_eq!(received, b"");
 }
 
 #[tokio::test]
-async fn rest_of_a_request_is_written_whatever_has_arrived() {
+async fn rest_of_a_request_is_written_even_if_input_has_arrived() {
     let (written, received) = write_after_unread_bytes(false).await;
     written.expect("written");
     assert_eq!(received, b"request");
