--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,7 +1,7 @@
-//! How every program logs: lines on standard error, as text or as JSON, filtered by one setting.
+//! Logging for all programs: lines on standard error, as text or JSON, with one filter setting.
 //!
-//! Messages are fixed and values are fields, so that lines can be selected by both; `docs/operate/logs.md` lists the
-//! names of the fields.
+//! Messages are constant and values are fields, so that lines can be selected by either.
+//! `docs/operate/logs.md` lists the names of the fields.
 
 use std::fmt;
 use std::io;
@@ -16,32 +16,32 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 
-/// The environment variable that holds the format, where the command line does not.
+/// The environment variable of the format, used if the command line has none.
 pub const FORMAT: &str = "LB_LOG_FORMAT";
-/// The environment variable that holds the filter, where the command line does not.
+/// The environment variable of the filter, used if the command line has none.
 pub const FILTER: &str = "LB_LOG";
-/// The former name of [`FORMAT`]. It is still read, with one warning, and still passed on to child
+/// The deprecated name of [`FORMAT`]. It is still read, with one warning, and is also set for child
 /// processes, whose program may be of an earlier version.
 pub const DEPRECATED_FORMAT: &str = "PLANKVALE_LOG_FORMAT";
-/// The former name of [`FILTER`], handled as [`DEPRECATED_FORMAT`] is.
+/// The deprecated name of [`FILTER`], handled like [`DEPRECATED_FORMAT`].
 pub const DEPRECATED_FILTER: &str = "PLANKVALE_LOG";
 
-/// The format of a line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// A JSON object for each line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A format that does not exist.
+/// The error of an unknown format name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("text or json expected, not {0:?}")]
+#[error("must be text or json, not {0:?}")]
 pub struct UnknownFormat(pub String);
 
-/// Why the options of the log cannot be used.
+/// An error in the logging options, or at the start of logging.
 #[derive(Debug, Error)]
 pub enum LogError {
     /// An environment variable names an unknown format.
@@ -53,7 +53,7 @@
         source: UnknownFormat,
     },
     /// A part of the filter is neither a level nor a module with a level.
-    #[error("log filter: LEVEL or MODULE=LEVEL expected, not {0:?}")]
+    #[error("log filter: must be LEVEL or MODULE=LEVEL, not {0:?}")]
     FilterPart(String),
     /// The filter cannot be parsed.
     #[error("log filter: {filter:?}: {source}")]
@@ -63,7 +63,7 @@
         /// The cause.
         source: ParseError,
     },
-    /// The program logs already.
+    /// Logging was already started.
     #[error(transparent)]
     AlreadyStarted(#[from] TryInitError),
 }
@@ -89,61 +89,61 @@
     }
 }
 
-/// The options of a program's log.
+/// The logging options of a program.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The format of a line.
+    /// The format of log lines.
     pub format: Format,
-    /// A level (`info`), or levels by module (`warn,fleet=debug`). None: `info`.
+    /// A level (`info`), or levels by module (`warn,fleet=debug`). `None` means `info`.
     pub filter: Option<String>,
-    /// Whether a value was taken from a variable of a deprecated name.
+    /// Whether a value comes from a variable with a deprecated name.
     pub deprecated: bool,
 }
 
-/// The value of an environment variable, if it is set and not empty.
+/// Returns the value of an environment variable, if it is set and not empty.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
 impl Options {
-    /// The options of the command line, and those of the environment where they are missing.
+    /// Takes the options from the command line, and from the environment if the command line does not set them.
     ///
     /// # Errors
     ///
-    /// When the environment names an unknown format.
+    /// Fails if the environment names an unknown format.
     pub fn or_env(format: Option<Format>, filter: Option<String>) -> Result<Options, LogError> {
         Options::from_sources(format, filter, variable)
     }
 
-    /// As [`Options::or_env`], with `variable` in place of the environment.
+    /// Like [`Options::or_env`], with `variable` instead of the environment.
     fn from_sources(
         format: Option<Format>,
         filter: Option<String>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Options, LogError> {
         let mut deprecated = false;
-        let mut named = |name: &'static str, old: &'static str| {
+        let mut lookup = |name: &'static str, deprecated_name: &'static str| {
             let current = variable(name).map(|value| (name, value));
             current.or_else(|| {
-                let value = variable(old)?;
+                let value = variable(deprecated_name)?;
                 deprecated = true;
-                Some((old, value))
+                Some((deprecated_name, value))
             })
         };
         let format = match format {
             Some(format) => format,
-            None => match named(FORMAT, DEPRECATED_FORMAT) {
+            None => match lookup(FORMAT, DEPRECATED_FORMAT) {
                 Some((variable, text)) => {
                     text.parse().map_err(|source| LogError::Format { variable, source })?
                 }
                 None => Format::default(),
             },
         };
-        let filter = filter.or_else(|| named(FILTER, DEPRECATED_FILTER).map(|(_, filter)| filter));
+        let filter = filter.or_else(|| lookup(FILTER, DEPRECATED_FILTER).map(|(_, filter)| filter));
         Ok(Options { format, filter, deprecated })
     }
 
-    /// The environment variables that make another program log in the same way.
+    /// Returns the environment variables with which a child process logs with the same options.
     pub fn environment(&self) -> Vec<(&'static str, String)> {
         let mut all = Vec::new();
         for name in [FORMAT, DEPRECATED_FORMAT] {
@@ -161,8 +161,8 @@
         let Some(text) = &self.filter else {
             return Ok(Targets::new().with_default(LevelFilter::INFO));
         };
-        // A misspelt level would be taken for the name of a module, and nothing would be logged. So a word alone must be
-        // a level.
+        // `Targets` would parse a misspelt level as the name of a module, and nothing would be logged. A word without
+        // `=` must therefore be a level.
         for part in text.split(',') {
             let (module, level) = part.split_once('=').unwrap_or(("all", part));
             if module.trim().is_empty() || level.trim().parse::<LevelFilter>().is_err() {
@@ -185,11 +185,11 @@
         })
     }
 
-    /// Starts the log of this program.
+    /// Starts logging in this program.
     ///
     /// # Errors
     ///
-    /// When the filter is invalid, or the log was started before.
+    /// Fails if the filter is invalid or logging was already started.
     pub fn start(&self) -> Result<(), LogError> {
         let layer = self.layer(io::stderr)?;
         tracing_subscriber::registry().with(layer).try_init()?;
