--- a/crates/simnet/src/connection.rs
+++ b/crates/simnet/src/connection.rs
@@ -1,4 +1,4 @@
-//! The state of a TCP connection: two endpoints, each with a queue of segments in flight to it.
+//! The state of a TCP connection with two endpoints, each with a queue of the segments in flight to it.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -9,7 +9,7 @@
 
 use crate::HostId;
 
-/// Identifies a connection of a world; the same at both ends.
+/// Identifies a connection of a world. Both ends have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub(crate) u64);
 
@@ -22,9 +22,9 @@
 /// One end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
-    /// The end that opened it.
+    /// The end that opens the connection.
     Client,
-    /// The end that accepts it.
+    /// The end that accepts the connection.
     Server,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// What one endpoint sends to the other.
+/// A segment that one endpoint sends to the other.
 pub(crate) enum Segment {
     Data(Vec<u8>),
     Fin,
@@ -52,7 +52,7 @@
 }
 
 impl Segment {
-    /// The bytes of data.
+    /// Returns the data of the segment; empty for FIN and RST.
     pub(crate) fn data(&self) -> &[u8] {
         match self {
             Segment::Data(bytes) => bytes,
@@ -65,26 +65,26 @@
 pub(crate) struct EndpointState {
     pub(crate) host: HostId,
     pub(crate) address: SocketAddr,
-    /// Whether a process owns it, or a listener's backlog holds it.
+    /// Whether a process or the backlog of a listener holds this end.
     pub(crate) owned: bool,
     /// Whether the sending direction is shut down.
     pub(crate) write_shutdown: bool,
-    /// What has arrived and was not read yet.
+    /// Bytes that have arrived and were not read yet.
     pub(crate) receive_buffer: VecDeque<u8>,
     pub(crate) fin_received: bool,
     pub(crate) error: Option<ErrorKind>,
-    /// What is on its way to this end, with the time of its arrival.
+    /// Segments in flight to this end, with their arrival times.
     pub(crate) in_flight: VecDeque<(Duration, Segment)>,
-    /// How many bytes this end has sent that its peer has not read.
+    /// The number of bytes that this end has sent and its peer has not read.
     pub(crate) unread_by_peer: usize,
-    /// When the last segment that this end sent arrives.
+    /// The arrival time of the last segment that this end sent.
     pub(crate) last_arrival: Duration,
     pub(crate) read_waker: Option<Waker>,
     pub(crate) write_waker: Option<Waker>,
-    /// It became readable while its host was held up, and the event loop has not told its task.
+    /// Whether this end became readable while its host was held up, and the event loop has not reported it yet.
     pub(crate) unreported: bool,
     pub(crate) reset_on_close: bool,
-    /// Whether everything that this end sends is lost.
+    /// Whether everything that this end sends is dropped.
     pub(crate) blackholed: bool,
 }
 
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Notes that input, an end or an error arrives, and tells the task if the host's event loop does.
+    /// Applies the arrival of data, FIN or RST. Wakes the reader if `reported`, which is whether the event loop of the
+    /// host reports input now.
     pub(crate) fn input_arrives(&mut self, reported: bool, arrival: impl FnOnce(&mut Self)) {
         let was_readable = self.is_readable();
         arrival(self);
@@ -120,12 +121,12 @@
         }
     }
 
-    /// Whether its task can read: the event loop has told it of something.
+    /// Returns whether this end is readable and the event loop has reported it.
     pub(crate) fn is_reported_readable(&self) -> bool {
         self.is_readable() && !self.unreported
     }
 
-    /// Tells the tasks of what has happened meanwhile.
+    /// Reports the changes of a hold-up to the tasks: wakes the reader if this end is readable, and the writer.
     pub(crate) fn report(&mut self) {
         self.unreported = false;
         if self.is_readable() {
@@ -134,12 +135,12 @@
         self.wake_writer();
     }
 
-    /// Whether bytes have arrived that were not read.
+    /// Returns whether unread bytes have arrived.
     pub(crate) fn has_unread(&self) -> bool {
         !self.receive_buffer.is_empty()
     }
 
-    /// Whether a read would return at once.
+    /// Returns whether a read would complete at once, with bytes, the end of the stream or an error.
     pub(crate) fn is_readable(&self) -> bool {
         !self.receive_buffer.is_empty() || self.fin_received || self.error.is_some()
     }
@@ -156,14 +157,14 @@
         }
     }
 
-    /// Wakes whoever waits to read, then whoever waits to write.
+    /// Wakes the reader, then the writer.
     pub(crate) fn wake_all(&mut self) {
         self.wake_reader();
         self.wake_writer();
     }
 }
 
-/// How far the opening of a connection has come, as its client knows it.
+/// The state of the handshake as the client knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Handshake {
     Pending,
@@ -175,12 +176,12 @@
 pub(crate) struct Connection {
     endpoints: [EndpointState; 2],
     pub(crate) handshake: Handshake,
-    /// Wakes the task that opens the connection.
+    /// The waker of the task that opens the connection.
     pub(crate) connect_waker: Option<Waker>,
 }
 
 impl Connection {
-    /// A connection that is being opened: its client end is owned by a process.
+    /// Creates a connection that is being opened. Only its client end is owned.
     pub(crate) fn opening(mut client: EndpointState, server: EndpointState) -> Connection {
         client.owned = true;
         let endpoints = [client, server];
@@ -199,7 +200,7 @@
         &mut self.endpoints
     }
 
-    /// The hosts of an endpoint and of its peer.
+    /// Returns the hosts of an endpoint and of its peer.
     pub(crate) fn hosts(&self, endpoint: Endpoint) -> (HostId, HostId) {
         (self.endpoint(endpoint).host, self.endpoint(endpoint.peer()).host)
     }
@@ -209,7 +210,7 @@
         hosts == (a, b) || hosts == (b, a)
     }
 
-    /// Whether no process owns it and nothing is in flight.
+    /// Returns whether neither end is owned and nothing is in flight.
     pub(crate) fn is_finished(&self) -> bool {
         self.endpoints.iter().all(|endpoint| !endpoint.owned && endpoint.in_flight.is_empty())
     }
--- a/crates/simnet/src/delivery.rs
+++ b/crates/simnet/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Transmission: how segments and datagrams are sent, delayed, lost and delivered.
+//! The transmission of segments and datagrams: sending, delay, loss and delivery.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use crate::state::{WorldState, draw_bool, draw_duration};
 use crate::trace::TraceKind;
 
-/// What was lost, or met a partition, is sent again after this time.
+/// The time after which a lost segment, or one held back by a partition, is sent again.
 const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
-/// A SYN that was not answered is sent again after this time, then after twice that, and so on.
+/// The time after which an unanswered SYN is sent again. It doubles with each attempt.
 const SYN_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the timeout of a SYN is doubled at most.
+/// The maximum number of doublings of the timeout of a SYN.
 const MAX_SYN_TIMEOUT_DOUBLINGS: u32 = 5;
-/// How many datagrams may wait to be read; more are lost.
+/// The maximum number of unread datagrams of a socket. Further ones are dropped.
 const UDP_QUEUE_LIMIT: usize = 64;
 
 impl WorldState {
-    /// Draws how long a segment or datagram of `size` bytes takes from one host to another.
+    /// Draws the latency of a segment or datagram of `size` bytes from one host to another.
     pub(crate) fn draw_latency(&mut self, from: HostId, to: HostId, size: usize) -> Duration {
         let link = self.network.link(from, to);
         let segment_loss = link.segment_loss;
@@ -61,7 +61,7 @@
         self.schedule_network(delay, NetworkEvent::SegmentsArrive { connection: id, to });
     }
 
-    /// Lets an event on the network happen.
+    /// Processes an event of the network.
     pub(crate) fn deliver(&mut self, event: NetworkEvent) {
         match event {
             NetworkEvent::Syn { connection, attempt } => self.deliver_syn(connection, attempt),
@@ -85,7 +85,8 @@
         let dropped = attempt == 0 && draw_bool(&mut self.rng, syn_dropped);
         if dropped || partitioned || !self.network.host_mut(to).reachable {
             self.network.stats.syns_dropped += 1;
-            // A connection whose SYN was dropped by chance is never established: whatever dropped it goes on.
+            // A connection whose SYN is dropped by the link's probability is never established, as if the link
+            // dropped all its retries, too.
             if !dropped {
                 self.retry_syn(id, attempt);
             }
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Delivers what has arrived at an endpoint by now; behind a partition, tries again later.
+    /// Delivers the segments that have arrived at an endpoint by now. During a partition, tries again after
+    /// [`RETRANSMISSION_TIMEOUT`].
     fn deliver_segments(&mut self, id: ConnectionId, to: Endpoint) {
         let Some(connection) = self.network.connections.get(&id) else { return };
         let (receiver, sender) = connection.hosts(to);
@@ -191,7 +193,7 @@
         let reported = self.network.hosts[endpoint.host.0].reports_input();
         match segment {
             Segment::Data(_) if !endpoint.owned => {
-                // No process is left to read it: the host itself answers with a reset.
+                // No process owns this end, so the host answers with a reset.
                 if !endpoint.blackholed && endpoint.error.is_none() {
                     endpoint.error = Some(ErrorKind::ConnectionReset);
                     self.network.stats.resets += 1;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Resets every `nth` connection between two hosts, at both ends, and returns how many it reset.
+    /// Resets every `nth` connection between two hosts at both ends. Returns the number of resets.
     pub(crate) fn reset_connections(&mut self, a: HostId, b: HostId, nth: usize) -> usize {
         let ids = self.network.connections_between(a, b);
         let mut reset_count = 0;
--- a/crates/simnet/src/executor.rs
+++ b/crates/simnet/src/executor.rs
@@ -1,4 +1,4 @@
-//! The single-threaded executor: tasks run in turns, events happen, and the clock moves on.
+//! The single-threaded executor, which polls ready tasks, processes events and advances the clock.
 
 use std::cmp::Reverse;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,7 +21,7 @@
 }
 
 impl WorldState {
-    /// Takes the ready task that runs next.
+    /// Removes the task that runs next from the ready tasks.
     fn next_ready_task(&mut self) -> Option<TaskId> {
         if self.network.is_any_host_held_up() {
             return self.next_ready_task_of_running_hosts();
@@ -49,7 +49,8 @@
         Some(self.ready_tasks.remove(ready[choice]))
     }
 
-    /// Takes the next event up to `end` and sets the clock to it; to `end` if there is none.
+    /// Removes the next event up to `end` from the queue and sets the clock to its time. Without such an event, sets
+    /// the clock to `end`.
     fn next_event(&mut self, end: Duration) -> Option<Event> {
         if self.events.peek().is_none_or(|Reverse(next)| next.at > end) {
             self.now = self.now.max(end);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Polls one task, or lets one event happen; false once nothing is left up to `end`.
+    /// Polls one ready task, or processes one event if no task is ready. Returns false if nothing is left up to `end`.
     pub(crate) fn step(&self, end: Duration) -> bool {
         if let Some(id) = self.next_ready_task() {
             self.poll(id);
@@ -123,13 +124,14 @@
             _ => {
                 state.tasks.remove(&id);
                 drop(state);
-                // Only now: dropping the future closes its sockets, which need the state.
+                // Dropping the future closes its sockets, which borrow the state, so the state is released first.
                 drop(future);
             }
         }
     }
 
-    /// Takes a task's future and makes its host the current one. An aborted task is dropped instead.
+    /// Takes the future of a task for polling and makes its host the current one. Drops the future of an aborted task
+    /// instead.
     fn begin_poll(&self, id: TaskId) -> Option<(BoxedFuture, Arc<TaskWaker>)> {
         let mut state = self.state.borrow_mut();
         let task = state.tasks.get_mut(&id)?;
--- a/crates/simnet/src/hold_up.rs
+++ b/crates/simnet/src/hold_up.rs
@@ -1,7 +1,7 @@
-//! Hold-ups: the processes of a host are stopped for a while, as by SIGSTOP or a busy machine.
+//! Hold-ups: the processes of a host get no processor time for a while, as after SIGSTOP or on a busy machine.
 //!
-//! Timers fall due and input arrives meanwhile. When the processes go on, timers that are due are seen
-//! first, and only then does the event loop tell of what has arrived.
+//! Timers expire and input arrives in the meantime. When the processes run again, expired timers are handled
+//! first, and only then does the event loop report the input.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::state::{Event, WorldState};
 
 impl WorldState {
-    /// Stops the processes of a host for `duration`; one that is stopped stays so for as long as it was to be.
+    /// Stops the processes of a host for `duration`. Has no effect on a host that is already held up.
     pub(crate) fn hold_up(&mut self, host: HostId, duration: Duration) {
         if self.network.host_mut(host).event_loop == EventLoop::Running {
             self.network.set_event_loop(host, EventLoop::HeldUp);
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Lets the processes of a host run again. What has arrived is told at the same instant, behind the
-    /// tasks that are ready now.
+    /// Resumes the processes of a host. Input is reported at the same instant, after the tasks that are ready
+    /// now have run.
     pub(crate) fn resume(&mut self, host: HostId) {
         if self.network.host_mut(host).event_loop == EventLoop::HeldUp {
             self.network.set_event_loop(host, EventLoop::CatchingUp);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Tells the tasks of a host of what has arrived in a hold-up.
+    /// Reports the input that arrived in a hold-up to the tasks of the host.
     pub(crate) fn report_input(&mut self, host: HostId) {
         if self.network.host_mut(host).event_loop == EventLoop::CatchingUp {
             self.network.set_event_loop(host, EventLoop::Running);
--- a/crates/simnet/src/host.rs
+++ b/crates/simnet/src/host.rs
@@ -5,7 +5,7 @@
 
 use rustix::io::Errno;
 
-/// The first port that outgoing connections use.
+/// The first local port of outgoing connections.
 const FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
 /// Identifies a host of a world.
@@ -13,29 +13,29 @@
 pub struct HostId(pub(crate) usize);
 
 impl HostId {
-    /// The position among all hosts, from 0, in the order in which they were added.
+    /// Returns the index of the host in the order in which hosts were added, from 0.
     pub fn index(self) -> usize {
         self.0
     }
 }
 
-/// How the processes of a host end.
+/// The way in which the processes of a host end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostFailure {
-    /// The processes are killed: their connections are reset.
+    /// The processes are killed, and their connections are reset.
     ProcessKilled,
-    /// The host vanishes: its peers receive nothing more from it.
+    /// The host becomes unreachable, and its peers receive nothing more from it.
     Unreachable,
 }
 
-/// Whether the processes of a host run, and what their event loop knows.
+/// The state of a host's event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventLoop {
-    /// Tasks run, and are told of what arrives at once.
+    /// Tasks run, and input is reported to them as it arrives.
     Running,
-    /// The processes are stopped: no task runs, while timers fall due and input arrives.
+    /// The processes are stopped: no task runs, while timers expire and input arrives.
     HeldUp,
-    /// Tasks run again, those of timers first: the event loop has not been asked for input yet.
+    /// Tasks run again, starting with those of expired timers. The event loop has not reported input yet.
     CatchingUp,
 }
 
@@ -43,12 +43,12 @@
 pub(crate) struct Host {
     pub(crate) ip: IpAddr,
     next_port: u16,
-    /// How many sockets are open, listeners and connections in their backlogs included.
+    /// The number of open sockets, including listeners and connections in their backlogs.
     pub(crate) open_sockets: usize,
     pub(crate) socket_limit: usize,
     /// Set while the host's tasks are being dropped after a failure.
     pub(crate) failure: Option<HostFailure>,
-    /// Whether segments that arrive are processed.
+    /// Whether the host processes arriving segments and SYNs.
     pub(crate) reachable: bool,
     pub(crate) event_loop: EventLoop,
 }
@@ -66,21 +66,21 @@
         }
     }
 
-    /// Whether no task runs.
+    /// Returns whether the processes are stopped.
     pub(crate) fn is_held_up(&self) -> bool {
         self.event_loop == EventLoop::HeldUp
     }
 
-    /// Whether tasks are told of what arrives.
+    /// Returns whether input is reported to tasks as it arrives.
     pub(crate) fn reports_input(&self) -> bool {
         self.event_loop == EventLoop::Running
     }
 
-    /// Takes a descriptor for a connection.
+    /// Counts a new socket of a connection.
     ///
     /// # Errors
     ///
-    /// If the limit of descriptors is reached.
+    /// EMFILE if the limit on open sockets is reached.
     pub(crate) fn open_socket(&mut self) -> io::Result<()> {
         if self.open_sockets >= self.socket_limit {
             return Err(Errno::MFILE.into());
@@ -93,7 +93,7 @@
         self.open_sockets = self.open_sockets.saturating_sub(1);
     }
 
-    /// The local address of the next outgoing connection.
+    /// Allocates the local address of an outgoing connection.
     pub(crate) fn next_local_address(&mut self) -> SocketAddr {
         let port = self.next_port;
         self.next_port = port.checked_add(1).unwrap_or(FIRST_EPHEMERAL_PORT);
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,15 +1,15 @@
-//! A simulated system for network code: a virtual clock, tasks that run in an order given by a seed, and
-//! an in-memory network with latency, small windows, partial reads and writes, partitions, resets and
-//! lost hosts.
+//! A deterministic simulation of a system for network code: a virtual clock, tasks whose order depends on a
+//! seed, and an in-memory network with latency, small windows, partial reads and writes, partitions, resets
+//! and unreachable hosts.
 //!
-//! A [`World`] belongs to one thread. Inside it, [`SimRuntime`] is the [`runtime::Runtime`]. The same
-//! seed gives the same run to the byte: [`World::hash`] covers everything that happened. Nothing here
-//! reads a clock, the environment or a random number that does not come from the seed.
+//! A [`World`] belongs to one thread. Inside it, [`SimRuntime`] implements [`runtime::Runtime`]. Runs with
+//! the same seed are identical to the byte; [`World::hash`] covers all network events. The simulation
+//! depends on no real clock, on no environment and on no random numbers but those of the seed.
 //!
-//! What is modelled of TCP: order within a connection, a window of bytes that the peer has not read,
-//! segments that are split anywhere, FIN, RST (which may overtake bytes in flight), a close with unread
-//! bytes that resets, refused and unanswered SYNs, bounded backlogs, retransmission after loss or a
-//! partition, and connections that fall silent. Not modelled: congestion control, keep-alive, path MTU.
+//! The model of TCP has order within a connection, a window of bytes that the peer has not read, segments
+//! that are split anywhere, FIN, RST (which may overtake bytes in flight), the reset after a close with
+//! unread bytes, refused and unanswered SYNs, bounded backlogs, retransmission after loss or a partition,
+//! and blackholed connections. It has no congestion control, keep-alive or path MTU.
 
 mod connection;
 mod delivery;
--- a/crates/simnet/src/link.rs
+++ b/crates/simnet/src/link.rs
@@ -1,28 +1,28 @@
-//! The properties of the network path from one host to another.
+//! Links: the network paths between hosts.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// The network path from one host to another, in one direction.
+/// The properties of the network path from one host to another, in one direction.
 ///
 /// Probabilities are from 0 to 1.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// The latency of a segment, drawn uniformly.
+    /// The range of the latency of a segment, drawn uniformly.
     pub latency: Range<Duration>,
-    /// What each byte of a segment adds to its latency.
+    /// The additional latency for each byte of a segment.
     pub per_byte: Duration,
-    /// How many bytes may be written before the peer has read them.
+    /// The maximum number of written bytes that the peer has not read.
     pub window: usize,
-    /// The probability that a read or a write transfers only some of the bytes.
+    /// The probability that a read or a write transfers only part of the bytes.
     pub partial_io: f64,
     /// The probability that a segment arrives only after a retransmission.
     pub segment_loss: f64,
-    /// The probability that a reset overtakes the bytes in flight, which are lost then.
+    /// The probability that a reset overtakes the bytes in flight, which are then lost.
     pub reset_overtakes: f64,
-    /// Nothing passes. What was sent arrives once the partition has ended.
+    /// Whether the path is partitioned. Segments in flight arrive after the partition has ended; datagrams are lost.
     pub partitioned: bool,
-    /// The probability that a new connection is refused although its address is listened on.
+    /// The probability that a new connection is refused although a listener is bound to its address.
     pub syn_refused: f64,
     /// The probability that a new connection is never established.
     pub syn_dropped: f64,
--- a/crates/simnet/src/listener.rs
+++ b/crates/simnet/src/listener.rs
@@ -21,11 +21,11 @@
 }
 
 impl SimListener {
-    /// Listens on the host of the running task. At most `backlog_limit` connections wait to be accepted.
+    /// Listens on the host of the running task. The backlog holds at most `backlog_limit` connections.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::AddrInUse`] if the address is listened on already.
+    /// [`ErrorKind::AddrInUse`] if another listener is bound to the address.
     pub fn bind(address: SocketAddr, backlog_limit: usize) -> io::Result<SimListener> {
         let world = current();
         let mut state = world.state.borrow_mut();
@@ -43,10 +43,10 @@
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(SimTcp, SocketAddr)>> {
         if !self.reports_input() {
-            return self.wait_to_accept(cx);
+            return self.register_accept_waker(cx);
         }
-        match self.accept_waiting() {
-            Err(error) if error.kind() == ErrorKind::WouldBlock => self.wait_to_accept(cx),
+        match self.accept_from_backlog() {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => self.register_accept_waker(cx),
             accepted => Poll::Ready(accepted),
         }
     }
@@ -58,7 +58,7 @@
         listener.is_none_or(|listener| !listener.unreported)
     }
 
-    fn wait_to_accept<T>(&self, cx: &mut Context<'_>) -> Poll<T> {
+    fn register_accept_waker<T>(&self, cx: &mut Context<'_>) -> Poll<T> {
         let world = current();
         let mut state = world.state.borrow_mut();
         if let Some(listener) = state.network.listeners.get_mut(&self.address) {
@@ -67,7 +67,7 @@
         Poll::Pending
     }
 
-    fn accept_waiting(&self) -> io::Result<(SimTcp, SocketAddr)> {
+    fn accept_from_backlog(&self) -> io::Result<(SimTcp, SocketAddr)> {
         let world = current();
         let mut state = world.state.borrow_mut();
         let network = &mut state.network;
@@ -95,7 +95,7 @@
     }
 
     fn try_accept(&self) -> io::Result<SimTcp> {
-        Ok(self.accept_waiting()?.0)
+        Ok(self.accept_from_backlog()?.0)
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -106,7 +106,7 @@
 impl Drop for SimListener {
     fn drop(&mut self) {
         let Some(world) = try_current() else { return };
-        let waiting = {
+        let not_accepted = {
             let mut state = world.state.borrow_mut();
             let Some(listener) = state.network.listeners.remove(&self.address) else { return };
             let host = state.network.host_mut(listener.host);
@@ -114,8 +114,8 @@
             host.open_sockets += listener.backlog.len();
             listener.backlog
         };
-        // Connections that were not accepted are reset.
-        for connection in waiting {
+        // Connections left in the backlog are reset when these sockets are dropped.
+        for connection in not_accepted {
             SimTcp::new(connection, Endpoint::Server).reset_on_close();
         }
     }
--- a/crates/simnet/src/network.rs
+++ b/crates/simnet/src/network.rs
@@ -10,22 +10,22 @@
 use crate::host::{EventLoop, Host, HostId};
 use crate::link::Link;
 
-/// Counters of what happened on the network.
+/// Counters of network events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetworkStats {
     /// Connections that were established.
     pub connections_established: u64,
     /// Connections that were refused.
     pub connections_refused: u64,
-    /// SYNs that were not answered.
+    /// SYNs that were dropped without an answer.
     pub syns_dropped: u64,
     /// Resets that were sent.
     pub resets: u64,
-    /// Bytes that were written.
+    /// Bytes that were written to connections.
     pub bytes_written: u64,
-    /// Reads and writes that transferred only some of the bytes.
+    /// Reads and writes that transferred only part of the bytes.
     pub partial_io: u64,
-    /// Segments that needed a retransmission.
+    /// Segments and datagrams that were delayed by a retransmission.
     pub segments_lost: u64,
     /// Resets that overtook bytes in flight.
     pub resets_reordered: u64,
@@ -38,18 +38,18 @@
 /// The state of a listening socket.
 pub(crate) struct ListenerState {
     pub(crate) host: HostId,
-    /// Connections that wait to be accepted.
+    /// Established connections that have not been accepted yet.
     pub(crate) backlog: VecDeque<ConnectionId>,
     pub(crate) backlog_limit: usize,
     pub(crate) accept_waker: Option<Waker>,
-    /// The first connection came while the host was held up, and the event loop has not told of it.
+    /// Whether the listener became readable while the host was held up, and the event loop has not reported it yet.
     pub(crate) unreported: bool,
 }
 
 /// The state of a UDP socket.
 pub(crate) struct UdpState {
     pub(crate) host: HostId,
-    /// Datagrams that wait to be read, with their senders.
+    /// Unread datagrams, with their senders.
     pub(crate) queue: VecDeque<(SocketAddr, Vec<u8>)>,
     pub(crate) read_waker: Option<Waker>,
 }
@@ -58,7 +58,7 @@
 #[derive(Default)]
 pub(crate) struct Network {
     pub(crate) hosts: Vec<Host>,
-    /// How many of them are held up: asked before each step.
+    /// The number of hosts that are held up. Counted, because it is read before each step.
     held_up_hosts: usize,
     pub(crate) connections: FxHashMap<ConnectionId, Connection>,
     last_connection: u64,
@@ -87,7 +87,7 @@
         self.held_up_hosts > 0
     }
 
-    /// Changes whether the processes of a host run.
+    /// Sets the state of a host's event loop, and updates the number of hosts that are held up.
     pub(crate) fn set_event_loop(&mut self, host: HostId, event_loop: EventLoop) {
         let host = self.host_mut(host);
         let was_held_up = host.is_held_up();
@@ -97,7 +97,7 @@
         self.held_up_hosts -= usize::from(was_held_up);
     }
 
-    /// Tells the tasks of a host of everything that has arrived there.
+    /// Wakes the tasks of a host for all input that has arrived.
     pub(crate) fn report_input(&mut self, host: HostId) {
         for listener in self.listeners.values_mut().filter(|listener| listener.host == host) {
             listener.unreported = false;
@@ -134,7 +134,7 @@
         id
     }
 
-    /// Removes a connection on which nothing can happen any more.
+    /// Removes a connection if neither end is owned and nothing is in flight.
     pub(crate) fn remove_if_finished(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_finished) {
             self.connections.remove(&id);
@@ -146,7 +146,7 @@
         self.udp_sockets.retain(|_, socket| socket.host != host);
     }
 
-    /// The connections between two hosts, the oldest first.
+    /// Returns the connections between two hosts, oldest first.
     pub(crate) fn connections_between(&self, a: HostId, b: HostId) -> Vec<ConnectionId> {
         let between = self.connections.iter().filter(|(_, connection)| connection.is_between(a, b));
         let mut ids: Vec<ConnectionId> = between.map(|(id, _)| *id).collect();
@@ -154,8 +154,8 @@
         ids
     }
 
-    /// Loses everything that is and will be in flight on the connections between two hosts, and returns
-    /// their number.
+    /// Drops everything that is or will be in flight on the existing connections between two hosts. Returns
+    /// the number of these connections.
     pub(crate) fn blackhole_connections(&mut self, a: HostId, b: HostId) -> usize {
         let ids = self.connections_between(a, b);
         for id in &ids {
--- a/crates/simnet/src/options.rs
+++ b/crates/simnet/src/options.rs
@@ -1,21 +1,21 @@
-//! Settings of a world.
+//! Options of a world.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// The time of day at which a world starts unless its options say otherwise.
+/// The default Unix time at the start of a world.
 const DEFAULT_UNIX_START: Duration = Duration::from_secs(1_700_000_000);
 
-/// Settings of a world, beside its seed.
+/// Options of a world. The seed is separate.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Ready tasks run in random order, not first come, first served.
+    /// Whether ready tasks run in random order instead of first in, first out.
     pub shuffle_ready_tasks: bool,
-    /// Events of the same instant happen in random order.
+    /// Whether events of the same instant happen in random order.
     pub shuffle_simultaneous_events: bool,
-    /// How late a timer fires: what rounding and a busy machine do.
+    /// The range of the delay of timers, as caused by rounding and busy machines.
     pub timer_lag: Range<Duration>,
-    /// The time since the Unix epoch when the world starts.
+    /// The time since the Unix epoch at the start of the world.
     pub unix_start: Duration,
 }
 
--- a/crates/simnet/src/sim_runtime.rs
+++ b/crates/simnet/src/sim_runtime.rs
@@ -1,4 +1,4 @@
-//! The simulated system as a [`Runtime`].
+//! The implementation of [`Runtime`] by the simulation.
 
 use std::future::Future;
 use std::io;
@@ -15,12 +15,12 @@
 use crate::tcp::{self, SimTcp};
 use crate::udp::SimUdp;
 
-/// The resolution of the clock.
-const SHORTEST_TIME: Duration = Duration::from_nanos(1);
+/// The resolution of the virtual clock.
+const CLOCK_RESOLUTION: Duration = Duration::from_nanos(1);
 
-/// The simulated system: everything refers to the [`World`](crate::World) that runs on the thread.
+/// The simulated system. Its functions act on the [`World`](crate::World) that runs on the current thread.
 ///
-/// Its functions panic outside of a world.
+/// They panic outside of a world.
 pub enum SimRuntime {}
 
 impl Runtime for SimRuntime {
@@ -47,8 +47,8 @@
     }
 
     async fn deliver_events() {
-        // Before the clock moves on, every task that was woken has run.
-        Self::sleep(SHORTEST_TIME).await;
+        // The clock advances only after every woken task has run.
+        Self::sleep(CLOCK_RESOLUTION).await;
     }
 
     fn spawn(task: impl Future<Output = ()> + 'static) -> TaskId {
@@ -60,10 +60,10 @@
     }
 }
 
-/// Completes at a virtual time.
+/// A future that completes at a virtual time.
 pub struct Sleep {
     deadline: Instant,
-    /// Set once it was polled before its time.
+    /// The registered timer. `None` until the first poll before the deadline.
     timer: Option<TimerId>,
 }
 
--- a/crates/simnet/src/state.rs
+++ b/crates/simnet/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a world, its event queue, and the world that runs on the current thread.
+//! The state of a world with its event queue, and the current world of the thread.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -28,14 +28,14 @@
 pub(crate) enum Event {
     TimerFired(TimerId),
     Network(NetworkEvent),
-    /// The processes of a host run again after a hold-up.
+    /// The processes of a host resume after a hold-up.
     Resumed(HostId),
-    /// The event loop of a host tells of what arrived in a hold-up.
+    /// The event loop of a host reports the input that arrived in a hold-up.
     InputReported(HostId),
 }
 
-/// An event and when it happens. Events are ordered by time, then by a tie breaker (random if events of
-/// the same instant are shuffled), then by the order in which they were scheduled.
+/// An event and its time. Events are ordered by time, then by a tie breaker (random if simultaneous events
+/// are shuffled), then by the order in which they were scheduled.
 pub(crate) struct ScheduledEvent {
     pub(crate) at: Duration,
     tie_breaker: u64,
@@ -64,11 +64,11 @@
     }
 }
 
-/// Everything in a world that changes.
+/// The mutable state of a world.
 pub(crate) struct WorldState {
     /// The virtual time since the start.
     pub(crate) now: Duration,
-    /// The host of the task that runs.
+    /// The host of the running task.
     pub(crate) current_host: HostId,
     pub(crate) tasks: FxHashMap<TaskId, Task>,
     pub(crate) last_task: u64,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Schedules an event; one that lies in the past happens now.
+    /// Schedules an event at `at`, or now if `at` is in the past.
     pub(crate) fn schedule(&mut self, at: Duration, event: Event) {
         self.last_event += 1;
         let shuffled = self.options.shuffle_simultaneous_events;
@@ -117,7 +117,7 @@
         self.schedule(self.now + delay, Event::Network(event));
     }
 
-    /// Registers a timer that wakes `waker` at `deadline`, or as much later as timers are late.
+    /// Registers a timer that wakes `waker` at `deadline` plus the lag drawn from [`Options::timer_lag`].
     pub(crate) fn add_timer(&mut self, deadline: Duration, waker: Waker) -> TimerId {
         self.last_timer += 1;
         let timer = TimerId(self.last_timer);
@@ -129,7 +129,7 @@
 
     fn draw_timer_lag(&mut self) -> Duration {
         let lag = self.options.timer_lag.clone();
-        // A range of one value must not take a number from the generator.
+        // A range with a single value must not draw from the generator, which would change the later draws.
         if lag.end > lag.start + Duration::from_nanos(1) {
             return draw_duration(&mut self.rng, &lag);
         }
@@ -137,12 +137,12 @@
     }
 }
 
-/// True with the given probability. Takes a number from the generator only if it may be true.
+/// Returns true with the given probability. Draws from the generator only if the probability is positive.
 pub(crate) fn draw_bool(rng: &mut SmallRng, probability: f64) -> bool {
     probability > 0.0 && rng.random_bool(probability.min(1.0))
 }
 
-/// A uniformly distributed duration, to the nanosecond; the start of an empty range.
+/// Draws a duration uniformly from `range`, in nanoseconds. Returns the start of an empty range without a draw.
 pub(crate) fn draw_duration(rng: &mut SmallRng, range: &Range<Duration>) -> Duration {
     if range.is_empty() {
         return range.start;
@@ -151,9 +151,9 @@
     Duration::from_nanos(rng.random_range(nanos))
 }
 
-/// A world as its tasks, sockets and timers share it.
+/// The inner state of a world, shared by its tasks, sockets and timers.
 pub(crate) struct WorldInner {
-    /// The instant that stands for the start of the virtual time.
+    /// The instant that corresponds to virtual time zero.
     start: Instant,
     pub(crate) woken: WokenTasks,
     pub(crate) state: RefCell<WorldState>,
@@ -170,17 +170,17 @@
         }
     }
 
-    /// The instant of a virtual time.
+    /// Converts a virtual time to an instant.
     pub(crate) fn instant(&self, since_start: Duration) -> Instant {
         self.start + since_start
     }
 
-    /// The virtual time of an instant; zero if it lies before the start.
+    /// Converts an instant to a virtual time, or to zero if it lies before the start.
     pub(crate) fn since_start(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.start)
     }
 
-    /// Shows an event to the tap, if there is one.
+    /// Passes an event to the tap, if one is set.
     pub(crate) fn notify_tap(&self, event: &TapEvent<'_>) {
         if let Some(tap) = self.tap.borrow_mut().as_mut() {
             let now = self.state.borrow().now;
@@ -193,21 +193,21 @@
     static CURRENT: RefCell<Option<Rc<WorldInner>>> = const { RefCell::new(None) };
 }
 
-/// The world that runs on this thread, if there is one.
+/// Returns the current world of this thread, if there is one.
 pub(crate) fn try_current() -> Option<Rc<WorldInner>> {
     CURRENT.try_with(|current| current.borrow().clone()).ok().flatten()
 }
 
-/// The world that runs on this thread.
+/// Returns the current world of this thread.
 ///
 /// # Panics
 ///
-/// If there is none.
+/// Panics if there is none.
 pub(crate) fn current() -> Rc<WorldInner> {
-    try_current().expect("simulated sockets and clocks exist only while their world runs")
+    try_current().expect("simulated sockets and clocks must be used inside a running world")
 }
 
-/// Makes a world the current one of its thread until dropped.
+/// Makes a world the current one of the thread until the guard is dropped.
 pub(crate) struct EnterGuard {
     previous: Option<Rc<WorldInner>>,
 }
--- a/crates/simnet/src/tap.rs
+++ b/crates/simnet/src/tap.rs
@@ -1,11 +1,11 @@
-//! Observation of everything that passes on the network.
+//! Observation of the simulated network.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::{ConnectionId, HostId};
 
-/// Observes everything that passes on the network.
+/// Observes all events on the network.
 pub trait Tap {
     /// Called for each event; `now` is the virtual time since the start of the world.
     fn on_event(&mut self, now: Duration, event: &TapEvent<'_>);
@@ -18,18 +18,18 @@
     Connecting {
         /// The connection.
         connection: ConnectionId,
-        /// The host that opens it.
+        /// The host that opens the connection.
         by: HostId,
     },
     /// A connection was established.
     Connected {
         /// The connection.
         connection: ConnectionId,
-        /// The host that opened it.
+        /// The host that opened the connection.
         from: HostId,
         /// The host that listens.
         to: HostId,
-        /// The address that is listened on.
+        /// The address of the listener.
         address: SocketAddr,
     },
     /// A process took a connection out of its listener's backlog.
@@ -43,20 +43,20 @@
     Sent {
         /// The connection.
         connection: ConnectionId,
-        /// The host that wrote.
+        /// The host that wrote the bytes.
         from: HostId,
-        /// The host that they are sent to.
+        /// The host that the bytes are sent to.
         to: HostId,
-        /// What was written.
+        /// The written bytes.
         bytes: &'a [u8],
     },
     /// A process read bytes.
     Read {
         /// The connection.
         connection: ConnectionId,
-        /// The host that read.
+        /// The host that read the bytes.
         by: HostId,
-        /// What was read.
+        /// The bytes read.
         bytes: &'a [u8],
     },
     /// A process shut down its sending direction.
@@ -65,7 +65,7 @@
         connection: ConnectionId,
         /// The host of the process.
         by: HostId,
-        /// How many bytes had arrived at this end and were not read.
+        /// The number of bytes that had arrived at this end and were not read.
         unread: usize,
     },
     /// A process closed its end of a connection.
@@ -74,9 +74,9 @@
         connection: ConnectionId,
         /// The host of the process.
         by: HostId,
-        /// Whether the peer receives a reset.
+        /// Whether the peer is sent a reset.
         reset: bool,
-        /// How many bytes had arrived at this end and were not read.
+        /// The number of bytes that had arrived at this end and were not read.
         unread: usize,
     },
 }
--- a/crates/simnet/src/task.rs
+++ b/crates/simnet/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks, and how they are woken.
+//! Tasks and their wakers.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,27 +8,29 @@
 
 use crate::host::HostId;
 
-/// Identifies a task of a world, and is its handle.
+/// Identifies a task of a world. Serves as the handle of the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub(crate) u64);
 
 pub(crate) type BoxedFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The tasks that were woken, in that order. Wakers have to be `Send`; these never leave their thread.
+/// Woken tasks, in the order of their wake-ups. The mutex is needed because wakers must be `Send`, although these never
+/// leave their thread.
 pub(crate) type WokenTasks = Arc<Mutex<Vec<TaskId>>>;
 
 /// A task that has not completed.
 pub(crate) struct Task {
     pub(crate) host: HostId,
-    /// Absent while it is polled.
+    /// `None` while the task is polled.
     pub(crate) future: Option<BoxedFuture>,
     pub(crate) waker: Arc<TaskWaker>,
     pub(crate) aborted: bool,
 }
 
+/// The waker of a task.
 pub(crate) struct TaskWaker {
     pub(crate) task: TaskId,
-    /// Whether the task is queued to be polled.
+    /// Whether the task is already queued to be polled.
     pub(crate) queued: AtomicBool,
     pub(crate) woken: WokenTasks,
 }
--- a/crates/simnet/src/tcp.rs
+++ b/crates/simnet/src/tcp.rs
@@ -1,4 +1,4 @@
-//! Simulated TCP connections as their processes see them.
+//! The sockets of simulated TCP connections.
 
 use std::future::poll_fn;
 use std::io::{self, ErrorKind, IoSlice};
@@ -19,8 +19,8 @@
 ///
 /// # Errors
 ///
-/// If no host has the address, if it refuses the connection, or if the host of the running task has no
-/// descriptor left.
+/// Fails if no host has the address, if the host refuses the connection, or if the host of the running task
+/// has reached its limit on open sockets.
 pub(crate) async fn connect(to: SocketAddr) -> io::Result<SimTcp> {
     let socket = start_connecting(to)?;
     if !poll_fn(|cx| poll_connected(socket.connection, cx)).await {
@@ -38,7 +38,7 @@
     Ok(socket)
 }
 
-/// Sends a SYN. Dropping the socket closes the connection, also before it is established.
+/// Sends a SYN. Dropping the socket closes the connection, even before it is established.
 fn start_connecting(to: SocketAddr) -> io::Result<SimTcp> {
     let world = current();
     let (connection, by) = {
@@ -60,7 +60,7 @@
     Ok(SimTcp::new(connection, Endpoint::Client))
 }
 
-/// Waits for the answer to a SYN: whether the connection was accepted.
+/// Waits for the answer to a SYN. Returns whether the connection was accepted.
 fn poll_connected(id: ConnectionId, cx: &mut Context<'_>) -> Poll<bool> {
     let world = current();
     let mut state = world.state.borrow_mut();
@@ -79,15 +79,16 @@
     }
 }
 
-/// One end of a connection. Dropping it closes that end.
+/// A socket: one end of a connection. Dropping it closes that end.
 #[derive(Debug)]
 pub struct SimTcp {
     connection: ConnectionId,
     endpoint: Endpoint,
 }
 
-/// What a write came to.
+/// The accepted part of a write.
 struct Written {
+    /// The number of accepted bytes.
     length: usize,
     from: HostId,
     to: HostId,
@@ -98,19 +99,20 @@
         SimTcp { connection, endpoint }
     }
 
-    /// Identifies the connection.
+    /// Returns the id of the connection.
     pub fn id(&self) -> ConnectionId {
         self.connection
     }
 
-    /// Changes the state of the world and of this connection; none if the connection is gone.
+    /// Calls `change` with the state of the world and of this connection. Returns `None` if the connection no
+    /// longer exists.
     fn with_connection<T>(
         &self,
         change: impl FnOnce(&mut WorldState, &mut Connection) -> T,
     ) -> Option<T> {
         let world = current();
         let mut state = world.state.borrow_mut();
-        // Taken out meanwhile, so that both can be changed.
+        // The connection is removed from the map in the meantime, so that both can be borrowed mutably.
         let mut connection = state.network.connections.remove(&self.connection)?;
         let value = change(&mut state, &mut connection);
         state.network.connections.insert(self.connection, connection);
@@ -132,7 +134,7 @@
         Ok(written.length)
     }
 
-    /// Decides how many of these bytes are written, and counts them as unread by the peer.
+    /// Determines how many of `bytes` are written now, and takes them from the window.
     fn reserve_window(
         &self,
         state: &mut WorldState,
@@ -159,7 +161,7 @@
         Ok(Written { length, from, to })
     }
 
-    /// Moves bytes from the receive buffer to `buf`, and opens the peer's window by as many.
+    /// Moves bytes from the receive buffer to `buf`, and returns them to the peer's window.
     fn receive(
         &self,
         state: &mut WorldState,
@@ -193,7 +195,7 @@
     }
 }
 
-/// How many of `length` bytes a read or write transfers.
+/// Draws how many of `length` bytes a read or write transfers.
 fn draw_partial_length(state: &mut WorldState, probability: f64, length: usize) -> usize {
     if length > 1 && draw_bool(&mut state.rng, probability) {
         state.network.stats.partial_io += 1;
@@ -300,12 +302,12 @@
     }
 }
 
-/// The end of a connection that a process has just closed.
+/// The result of closing one end of a connection.
 struct ClosedEndpoint {
     host: HostId,
     /// Whether the peer is sent a reset.
     reset: bool,
-    /// How many bytes had arrived and were not read.
+    /// The number of bytes that had arrived and were not read.
     unread: usize,
 }
 
--- a/crates/simnet/src/trace.rs
+++ b/crates/simnet/src/trace.rs
@@ -1,10 +1,10 @@
-//! The hash over a run.
+//! The hash of the network events of a run.
 
 use std::time::Duration;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// The kinds of events that are hashed. The numbers are part of the hash.
+/// The kinds of hashed events. The discriminants are part of the hash.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub(crate) enum TraceKind {
@@ -22,7 +22,7 @@
     InjectedReset = 6,
 }
 
-/// Hashes everything that happens.
+/// Hashes and counts network events.
 pub(crate) struct Trace {
     hash: Xxh3,
     event_count: u64,
@@ -33,8 +33,8 @@
         Trace { hash: Xxh3::with_seed(seed), event_count: 0 }
     }
 
-    /// Adds an event: its time since the start, its kind, a number that tells what it happened to, and
-    /// its bytes.
+    /// Adds an event to the hash: its time since the start, its kind, the number of its subject (such as a
+    /// connection and the endpoint), and its bytes.
     pub(crate) fn record(&mut self, now: Duration, kind: TraceKind, subject: u64, bytes: &[u8]) {
         self.event_count += 1;
         self.hash.update(&(now.as_nanos() as u64).to_le_bytes());
--- a/crates/simnet/src/udp.rs
+++ b/crates/simnet/src/udp.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::AddrInUse`] if the address is bound already.
+    /// [`ErrorKind::AddrInUse`] if the address is already bound.
     pub fn bind(address: SocketAddr) -> io::Result<SimUdp> {
         let world = current();
         let mut state = world.state.borrow_mut();
--- a/crates/simnet/src/world.rs
+++ b/crates/simnet/src/world.rs
@@ -1,4 +1,4 @@
-//! A world: one simulated system with its clock, tasks and network.
+//! A simulated system with its clock, tasks and network.
 
 use std::future::Future;
 use std::net::IpAddr;
@@ -13,13 +13,13 @@
 use crate::tap::Tap;
 use crate::task::TaskId;
 
-/// One simulated system.
+/// A simulated system.
 pub struct World {
     inner: Rc<WorldInner>,
 }
 
 impl World {
-    /// A world without hosts.
+    /// Creates a world without hosts.
     pub fn new(seed: u64, options: Options) -> World {
         World { inner: Rc::new(WorldInner::new(seed, options)) }
     }
@@ -33,7 +33,7 @@
         self.inner.state.borrow_mut().network.add_host(ip)
     }
 
-    /// Shows everything that passes on the network to `tap` from now on.
+    /// Sets the observer of network events, in place of the previous one.
     pub fn set_tap(&self, tap: impl Tap + 'static) {
         *self.inner.tap.borrow_mut() = Some(Box::new(tap));
     }
@@ -43,7 +43,7 @@
         self.run_on(host, || self.inner.spawn(Box::pin(task)))
     }
 
-    /// Runs `action` as a task on a host would, for example to open a listener there.
+    /// Runs `action` in the context of a host, as its tasks run, for example to open a listener there.
     pub fn run_on<T>(&self, host: HostId, action: impl FnOnce() -> T) -> T {
         let _entered = self.enter();
         let previous = std::mem::replace(&mut self.inner.state.borrow_mut().current_host, host);
@@ -52,22 +52,22 @@
         value
     }
 
-    /// Virtual time since the start.
+    /// Returns the virtual time since the start.
     pub fn now(&self) -> Duration {
         self.inner.state.borrow().now
     }
 
-    /// The current time as tasks see it.
+    /// Returns the current virtual time as the instant that tasks read.
     pub fn instant(&self) -> Instant {
         self.inner.instant(self.now())
     }
 
-    /// Lets everything happen that happens up to `end`, then sets the clock to `end`. `check` is called
-    /// after every step; its first error stops the run there.
+    /// Runs all tasks and events up to `end`, then sets the clock to `end`. Calls `check` after every step, and
+    /// stops at its first error.
     ///
     /// # Errors
     ///
-    /// The first error of `check`.
+    /// Returns the first error of `check`.
     pub fn run_until<E>(
         &self,
         end: Duration,
@@ -80,8 +80,8 @@
         Ok(())
     }
 
-    /// Drops all tasks of a host, as if its processes were killed or the host had vanished. Their
-    /// connections end accordingly.
+    /// Drops all tasks of a host, as if its processes were killed or the host became unreachable. Its
+    /// connections are reset or blackholed accordingly.
     pub fn kill(&self, host: HostId, failure: HostFailure) {
         let _entered = self.enter();
         let futures = {
@@ -92,7 +92,7 @@
             ids.sort_unstable();
             ids.iter().filter_map(|id| state.tasks.remove(id)?.future).collect::<Vec<_>>()
         };
-        // While the state is not borrowed: this closes sockets, which need it.
+        // Dropping the futures closes sockets, which borrow the state, so it must not be borrowed here.
         drop(futures);
         let mut state = self.inner.state.borrow_mut();
         state.network.close_listeners(host);
@@ -102,59 +102,59 @@
         host.reachable = failure == HostFailure::ProcessKilled;
     }
 
-    /// Stops the processes of a host for a while: no task of it runs, while timers fall due and input
-    /// arrives. Afterwards its tasks see timers that are due before they are told of any input.
+    /// Stops the processes of a host for `duration`: none of its tasks run, while timers expire and input
+    /// arrives. Afterwards its tasks handle expired timers before any input is reported to them.
     pub fn hold_up(&self, host: HostId, duration: Duration) {
         self.inner.state.borrow_mut().hold_up(host, duration);
     }
 
-    /// Makes a host that had vanished reachable again, without anything that it held.
+    /// Makes an unreachable host reachable again. Its former tasks and sockets are gone.
     pub fn revive(&self, host: HostId) {
         self.inner.state.borrow_mut().network.host_mut(host).reachable = true;
     }
 
-    /// How many tasks of a host have not completed.
+    /// Returns the number of tasks of a host that have not completed.
     pub fn task_count(&self, host: HostId) -> usize {
         self.inner.state.borrow().tasks.values().filter(|task| task.host == host).count()
     }
 
-    /// How many sockets a host has open, listeners included.
+    /// Returns the number of open sockets of a host, including listeners and connections in their backlogs.
     pub fn open_sockets(&self, host: HostId) -> usize {
         self.inner.state.borrow().network.hosts[host.0].open_sockets
     }
 
-    /// Sets how many sockets a host may open, like a process's limit of descriptors.
+    /// Sets the maximum number of open sockets of a host, like the limit on open descriptors of a process.
     pub fn set_socket_limit(&self, host: HostId, limit: usize) {
         self.inner.state.borrow_mut().network.host_mut(host).socket_limit = limit;
     }
 
-    /// Changes the link from one host to another.
+    /// Changes the properties of the link from one host to another.
     pub fn configure_link(&self, from: HostId, to: HostId, change: impl FnOnce(&mut Link)) {
         change(self.inner.state.borrow_mut().network.link_mut(from, to));
     }
 
-    /// Resets every `nth` connection between two hosts, at both ends, and returns how many it reset.
+    /// Resets every `nth` connection between two hosts at both ends. Returns the number of resets.
     pub fn reset_connections(&self, a: HostId, b: HostId, nth: usize) -> usize {
         self.inner.state.borrow_mut().reset_connections(a, b, nth)
     }
 
-    /// Loses everything that is and will be in flight on the present connections between two hosts, and
-    /// returns their number.
+    /// Drops everything that is or will be in flight on the existing connections between two hosts. Returns
+    /// the number of these connections.
     pub fn blackhole_connections(&self, a: HostId, b: HostId) -> usize {
         self.inner.state.borrow_mut().network.blackhole_connections(a, b)
     }
 
-    /// Counters of what happened on the network.
+    /// Returns counters of network events.
     pub fn stats(&self) -> NetworkStats {
         self.inner.state.borrow().network.stats
     }
 
-    /// The hash over everything that happened on the network.
+    /// Returns the hash of all network events so far.
     pub fn hash(&self) -> u64 {
         self.inner.state.borrow().trace.digest()
     }
 
-    /// How many events were hashed.
+    /// Returns the number of hashed events.
     pub fn event_count(&self) -> u64 {
         self.inner.state.borrow().trace.event_count()
     }
@@ -164,7 +164,8 @@
     fn drop(&mut self) {
         let _entered = self.enter();
         *self.inner.tap.borrow_mut() = None;
-        // Dropping tasks closes sockets and wakes other tasks, none of which runs any more.
+        // Dropping a task may run code that spawns tasks, so this repeats until none are left. Sockets are closed and
+        // other tasks are woken, but no task runs.
         loop {
             let tasks = std::mem::take(&mut self.inner.state.borrow_mut().tasks);
             if tasks.is_empty() {
--- a/crates/simnet/tests/hold_up.rs
+++ b/crates/simnet/tests/hold_up.rs
@@ -1,4 +1,4 @@
-//! Processes that are held up: what their tasks see, and in which order.
+//! Tests of the order in which tasks see timers and input after a hold-up.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -15,14 +15,14 @@
 const HELD_UP_FOR: Duration = Duration::from_millis(150);
 const END: Duration = Duration::from_secs(1);
 
-/// What tasks have seen, with the virtual time in milliseconds.
-type Seen = Rc<RefCell<Vec<(&'static str, u128)>>>;
+/// The observations of tasks, each with the virtual time in milliseconds.
+type Observations = Rc<RefCell<Vec<(&'static str, u128)>>>;
 
 struct Fixture {
     world: World,
     server: HostId,
     client: HostId,
-    seen: Seen,
+    observations: Observations,
 }
 
 fn ip(last: u8) -> IpAddr {
@@ -37,13 +37,15 @@
     fn new() -> Fixture {
         let world = World::new(1, Options::default());
         let (server, client) = (world.add_host(ip(1)), world.add_host(ip(2)));
-        Fixture { world, server, client, seen: Seen::default() }
+        Fixture { world, server, client, observations: Observations::default() }
     }
 
-    /// Notes what a task sees from now on, by this name.
+    /// Returns a function that records an observation under the given name.
     fn recorder(&self) -> impl Fn(&'static str) + 'static {
-        let (seen, start) = (self.seen.clone(), self.world.instant());
-        move |what| seen.borrow_mut().push((what, SimRuntime::elapsed_since(start).as_millis()))
+        let (observations, start) = (self.observations.clone(), self.world.instant());
+        move |name| {
+            observations.borrow_mut().push((name, SimRuntime::elapsed_since(start).as_millis()))
+        }
     }
 
     /// Spawns a task on the server that accepts one connection and hands it to `serve`.
@@ -68,17 +70,17 @@
         });
     }
 
-    /// Holds the server up, and plays to the end.
-    fn play(&self) -> Vec<(&'static str, u128)> {
-        let nothing = || Ok::<(), std::convert::Infallible>(());
-        let _ = self.world.run_until(HELD_UP_AT, nothing);
+    /// Runs the world to the end, with a hold-up of the server. Returns the observations.
+    fn run(&self) -> Vec<(&'static str, u128)> {
+        let no_check = || Ok::<(), std::convert::Infallible>(());
+        let _ = self.world.run_until(HELD_UP_AT, no_check);
         self.world.hold_up(self.server, HELD_UP_FOR);
-        let _ = self.world.run_until(END, nothing);
-        self.seen.take()
+        let _ = self.world.run_until(END, no_check);
+        self.observations.take()
     }
 }
 
-/// Completes when something was read.
+/// Waits until bytes or the end of the stream were read.
 async fn read(socket: &SimTcp) {
     let mut buffer = [0; 16];
     loop {
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn no_task_of_a_host_runs_while_it_is_held_up_and_others_do() {
+fn held_up_host_runs_no_tasks_while_other_hosts_do() {
     let fixture = Fixture::new();
     for (host, name) in [(fixture.server, "held up"), (fixture.client, "runs")] {
         let record = fixture.recorder();
@@ -100,11 +102,11 @@
             record(name);
         });
     }
-    assert_eq!(fixture.play(), [("runs", 150), ("held up", 250)]);
+    assert_eq!(fixture.run(), [("runs", 150), ("held up", 250)]);
 }
 
 #[test]
-fn a_timer_is_seen_before_input_that_arrived_earlier() {
+fn timer_is_seen_before_input_that_arrived_earlier() {
     let fixture = Fixture::new();
     let record = fixture.recorder();
     fixture.serve(|socket| async move {
@@ -118,11 +120,11 @@
         record("input");
     });
     fixture.client(ms(0), HELD_UP_AT + ms(20));
-    assert_eq!(fixture.play(), [("timer, input waits", 250), ("input", 250)]);
+    assert_eq!(fixture.run(), [("timer, input waits", 250), ("input", 250)]);
 }
 
 #[test]
-fn an_expiry_lets_input_that_arrived_earlier_be_seen_first() {
+fn expiry_lets_input_that_arrived_earlier_be_seen_first() {
     let fixture = Fixture::new();
     let record = fixture.recorder();
     fixture.serve(|socket| async move {
@@ -134,11 +136,11 @@
         }
     });
     fixture.client(ms(0), HELD_UP_AT + ms(20));
-    assert_eq!(fixture.play(), [("input", 250)]);
+    assert_eq!(fixture.run(), [("input", 250)]);
 }
 
 #[test]
-fn a_connection_that_comes_in_a_hold_up_is_accepted_after_it() {
+fn connection_opened_during_a_hold_up_is_accepted_after_it() {
     let fixture = Fixture::new();
     let record = fixture.recorder();
     fixture.serve(|socket| async move {
@@ -147,17 +149,17 @@
         record("input");
     });
     fixture.client(HELD_UP_AT + ms(20), HELD_UP_AT + ms(30));
-    assert_eq!(fixture.play(), [("accepted", 250), ("input", 250)]);
+    assert_eq!(fixture.run(), [("accepted", 250), ("input", 250)]);
 }
 
 #[test]
-fn a_process_that_is_started_after_a_kill_is_not_held_up() {
+fn process_started_after_a_kill_is_not_held_up() {
     let fixture = Fixture::new();
-    let nothing = || Ok::<(), std::convert::Infallible>(());
+    let no_check = || Ok::<(), std::convert::Infallible>(());
     fixture.world.hold_up(fixture.server, END);
     fixture.world.kill(fixture.server, HostFailure::ProcessKilled);
     let record = fixture.recorder();
     fixture.world.spawn(fixture.server, async move { record("runs") });
-    let _ = fixture.world.run_until(ms(1), nothing);
-    assert_eq!(fixture.seen.take(), [("runs", 0)]);
+    let _ = fixture.world.run_until(ms(1), no_check);
+    assert_eq!(fixture.observations.take(), [("runs", 0)]);
 }
