--- a/crates/lbctl/src/config.rs
+++ b/crates/lbctl/src/config.rs
@@ -1,4 +1,4 @@
-//! `config`: changes of configuration, published at the origin, and where they are in force.
+//! `lbctl config`: publishes configuration changes at the origin, and shows where they are in force.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -18,22 +18,23 @@
 
 use crate::outcome::{STATUS_ERROR, STATUS_FAILED, print_error};
 
-/// How long an origin may take to answer.
+/// The time within which an origin must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// The time between two polls of the origin.
+/// The time between two status requests to the origin.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The HTTP status of a change that the origin took but did not get to most control servers in time.
+/// The HTTP status of a change that the origin accepted but could not replicate to a majority of the control servers in
+/// time.
 const GATEWAY_TIMEOUT: u16 = 504;
-/// The longest time that can be given on the command line, in seconds.
+/// The maximum duration on the command line, in seconds.
 const MAX_TIMEOUT_S: f64 = 86_400.0;
 
 /// The arguments of `config`.
 #[derive(Args)]
 pub struct Arguments {
-    /// The origins, whichever leads.
+    /// The addresses of the origins. Requests go to the leading one.
     #[arg(long, required = true, global = false, value_delimiter = ',')]
     origin: Vec<SocketAddr>,
-    /// Answer in JSON.
+    /// Print answers as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -42,47 +43,47 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Publish a document. Status 1: refused, or not in force within the time.
+    /// Publish a document. Exit status 1: refused, or not in force in time.
     Publish {
-        /// SERVICE, SERVICE@ZONE, or * for all.
+        /// SERVICE, SERVICE@ZONE, or * for all services.
         key: String,
-        /// A JSON object: the part of the sidecars' configuration that it sets.
+        /// A file with a JSON object, which is the part of the sidecars' configuration to set.
         file: PathBuf,
-        /// Wait until it is in force at all that it concerns, as in 7s.
+        /// Wait until the change is in force at all affected hosts, for at most this time, such as 7s.
         #[arg(long, value_parser = parse_duration)]
         within: Option<Duration>,
     },
     /// Withdraw a document.
     Withdraw {
-        /// Its key.
+        /// The key of the document.
         key: String,
-        /// Wait until that is in force at all that it concerns.
+        /// Wait until the change is in force at all affected hosts, for at most this time, such as 7s.
         #[arg(long, value_parser = parse_duration)]
         within: Option<Duration>,
     },
-    /// How far all are, by zone, and who is behind.
+    /// Show the progress of changes by zone, and the lagging hosts.
     Status,
-    /// Wait until a change is in force at all that it concerns. Status 1: it is not within the time.
+    /// Wait until a change is in force at all affected hosts. Exit status 1: not in force in time.
     Wait {
-        /// Its generation.
+        /// The generation of the change.
         generation: u64,
-        /// At the most so long.
+        /// The maximum time to wait.
         #[arg(long, value_parser = parse_duration, default_value = "7s")]
         within: Duration,
     },
-    /// The documents, or one of them.
+    /// Show all documents, or one of them.
     Show {
-        /// Its key.
+        /// The key of the document.
         key: Option<String>,
     },
 }
 
-/// A text that is no duration.
+/// The error of an invalid duration.
 #[derive(Debug, thiserror::Error)]
-#[error("a time as in 7s expected, not {0:?}")]
+#[error("must be a duration such as 7s, not {0:?}")]
 struct DurationError(String);
 
-/// Parses `7s`, `500ms` or `7`, which is in seconds.
+/// Parses a duration such as `7s`, `500ms` or `7`. The default unit is seconds.
 fn parse_duration(text: &str) -> Result<Duration, DurationError> {
     let (number, unit_s) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
@@ -93,7 +94,7 @@
     seconds.map(Duration::from_secs_f64).ok_or_else(|| DurationError(text.to_owned()))
 }
 
-/// Why a command has failed.
+/// An error of `lbctl config`.
 #[derive(Debug, thiserror::Error)]
 enum ConfigError {
     #[error(transparent)]
@@ -106,14 +107,14 @@
     Document { path: PathBuf, reason: String },
     #[error("refused: {0}")]
     Rejected(String),
-    /// The origin has answered with an error.
+    /// The origin answered with an error.
     #[error("{0}")]
     Origin(String),
-    #[error("{origin}: {reason}; it may have been taken, publish it again")]
+    #[error("{origin}: {reason}; the change may have been accepted, publish it again")]
     Unconfirmed { origin: SocketAddr, reason: String },
     #[error(
         "generation {generation} is not in force everywhere after {:.1} s: \
-         all is in force at {in_force} of {hosts} hosts, {not_reached} are not reached",
+         all changes are in force at {in_force} of {hosts} hosts, {unreachable} hosts are unreachable",
         timeout.as_secs_f64()
     )]
     NotInForce {
@@ -121,7 +122,7 @@
         timeout: Duration,
         in_force: usize,
         hosts: usize,
-        not_reached: usize,
+        unreachable: usize,
     },
 }
 
@@ -138,7 +139,7 @@
 
 /// Runs the command.
 pub fn run(arguments: &Arguments) -> ExitCode {
-    match run_to_end(arguments) {
+    match execute(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             print_error(&error);
@@ -147,7 +148,7 @@
     }
 }
 
-fn run_to_end(arguments: &Arguments) -> Result<(), ConfigError> {
+fn execute(arguments: &Arguments) -> Result<(), ConfigError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let client = Client { origins: &arguments.origin, json: arguments.json };
     LocalSet::new().block_on(&runtime, client.run(&arguments.command))
@@ -156,7 +157,7 @@
 /// A client of the origins.
 struct Client<'a> {
     origins: &'a [SocketAddr],
-    /// Whether answers are printed as JSON.
+    /// Whether to print answers as JSON.
     json: bool,
 }
 
@@ -194,12 +195,12 @@
         Ok(())
     }
 
-    /// The leading origin and its status; without one, the first that answers.
+    /// Returns the leading origin and its status. If none leads, returns the first one that answers.
     async fn leader(&self) -> Result<(SocketAddr, Value), ConfigError> {
         let (mut first, mut errors) = (None, String::new());
         for &origin in self.origins {
-            let mut caller = HttpClient::new(origin);
-            match caller.fetch_json::<Value>("/config/status", None, ANSWER_TIMEOUT).await {
+            let mut client = HttpClient::new(origin);
+            match client.fetch_json::<Value>("/config/status", None, ANSWER_TIMEOUT).await {
                 Ok(status) if status["leading"] == true => return Ok((origin, status)),
                 Ok(status) => first = first.or(Some((origin, status))),
                 Err(error) => drop(write!(errors, "{origin}: {error}; ")),
@@ -208,7 +209,8 @@
         first.ok_or(ConfigError::NoOrigin(errors))
     }
 
-    /// Publishes a document, or withdraws it if there is no body. Waits for it to be in force, if asked to.
+    /// Publishes a document, or withdraws it if `body` is `None`. Waits for at most `within` until the change is in
+    /// force.
     async fn publish(
         &self,
         key: &str,
@@ -222,18 +224,20 @@
         let (origin, _) = self.leader().await?;
         let request =
             serde_json::to_vec(&PublishRequest { key: key.clone(), body }).unwrap_or_default();
-        let mut caller = HttpClient::new(origin);
-        let answer = caller.fetch_json("/config/publish", Some(request), ANSWER_TIMEOUT).await;
+        let mut client = HttpClient::new(origin);
+        let answer = client.fetch_json("/config/publish", Some(request), ANSWER_TIMEOUT).await;
         let PublishResponse { generation } = answer.map_err(|error| match error {
             CallError::Rejected { status: GATEWAY_TIMEOUT, reason } => ConfigError::Origin(reason),
             CallError::Rejected { reason, .. } => ConfigError::Rejected(reason),
-            // The origin may have taken the change all the same. Publishing it again does no harm.
+            // The origin may have accepted the change nevertheless. Publishing it again is harmless.
             error => ConfigError::Unconfirmed { origin, reason: error.to_string() },
         })?;
         if self.json {
             println!("{}", serde_json::json!({"key": key, "generation": generation}));
         } else {
-            println!("{key} is generation {generation}, with most of the control machines");
+            println!(
+                "{key} is generation {generation}, stored by a majority of the control servers"
+            );
         }
         match within {
             Some(within) => self.wait(generation, within.saturating_sub(started.elapsed())).await,
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Waits until a generation is in force at all hosts.
+    /// Waits until a generation is in force at all affected hosts.
     async fn wait(&self, generation: u64, timeout: Duration) -> Result<(), ConfigError> {
         let started = Instant::now();
         loop {
@@ -250,7 +254,7 @@
             if status["leading"] == true && total.is_applied_everywhere(generation) {
                 if !self.json {
                     let (hosts, seconds) = (total.all.hosts, started.elapsed().as_secs_f64());
-                    println!("in force at all {hosts} hosts, after {seconds:.2} s");
+                    println!("in force at all {hosts} hosts after {seconds:.2} s");
                 }
                 return Ok(());
             }
@@ -263,7 +267,7 @@
                     timeout,
                     in_force: total.all.applied,
                     hosts: total.all.hosts,
-                    not_reached: total.unreachable_hosts,
+                    unreachable: total.unreachable_hosts,
                 });
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -304,7 +308,8 @@
         let _ = writeln!(text, "{name:<24}{hosts:>8}{applied:>10}{failed:>10}{silent:>8}");
     }
     if !total.unreachable_servers.is_empty() {
-        let _ = writeln!(text, "not reached: {}", total.unreachable_servers.join(", "));
+        let _ =
+            writeln!(text, "unreachable control servers: {}", total.unreachable_servers.join(", "));
     }
     for lagging in &total.lagging {
         let _ = writeln!(
--- a/crates/lbctl/src/demo.rs
+++ b/crates/lbctl/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a whole host on loopback under load, with a fault or a change every few seconds.
+//! `lbctl demo`: a host with its fleet on loopback under load, with a fault or a change every few seconds.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,31 +14,31 @@
 use crate::outcome::{CommandError, Outcome, exit_code};
 use crate::table;
 
-/// The factor on latency objectives and deadlines, for slow machines.
+/// The factor on latency objectives and deadlines, which leaves enough time on slow machines.
 const TIME_SCALE: f64 = 3.0;
-/// How long the host may take until all instances serve.
+/// The time within which all instances must serve.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long clients wait beyond a deadline.
+/// The time that clients wait beyond a deadline.
 const CLIENT_SLACK: Duration = Duration::from_secs(2);
-/// The settings of the daemon's rollouts.
+/// The `[rollout]` settings of the daemon.
 const ROLLOUT: &str = "watch_s = 1.0\nleast_requests = 5\nshare = 0.34";
 
 /// The arguments of `demo`.
 #[derive(Args)]
 pub struct Arguments {
-    /// How long load is driven.
+    /// The duration of the load, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Sidecars.
+    /// The number of sidecars.
     #[arg(long, default_value_t = 9)]
     instances: usize,
-    /// Requests a second at each.
+    /// Requests per second to each sidecar.
     #[arg(long, default_value_t = 15.0)]
     rate: f64,
-    /// The account in JSON at the end, and nothing else on standard output.
+    /// Print only the final report, as JSON.
     #[arg(long)]
     json: bool,
-    /// Where the programs' logs go.
+    /// The file for the logs of all programs.
     #[arg(long, default_value = "/dev/null")]
     log: PathBuf,
 }
@@ -51,45 +51,45 @@
 
 type StepError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The steps, in their order.
+/// The steps, in the order in which they run.
 const STEPS: [Step; 6] = [
-    Step { title: "one log server drains, and discovery says so", run: drain_server },
-    Step { title: "reload: new deadlines, taken over live", run: reload_live },
+    Step { title: "a log server drains, and discovery reports it", run: drain_server },
+    Step { title: "reload: a new latency objective, applied without a restart", run: reload_live },
     Step { title: "a sidecar is killed with SIGKILL", run: kill_sidecar },
     Step {
-        title: "reload: another shape, by successors on the same listeners",
+        title: "reload: a new goal, applied by successors on the same listeners",
         run: reload_by_successors,
     },
-    Step { title: "the daemon is killed with SIGKILL, and started again", run: restart_daemon },
-    Step { title: "a broken desired is refused", run: reload_invalid },
+    Step { title: "the daemon is killed with SIGKILL and restarted", run: restart_daemon },
+    Step { title: "a reload with an invalid configuration is rejected", run: reload_invalid },
 ];
 
-/// Runs the command. It passes if no rule was broken and no connection was refused.
+/// Runs the command. It passes if requests were served, no rule was violated and no connection was refused.
 pub fn run(arguments: &Arguments) -> ExitCode {
-    exit_code(play(arguments))
+    exit_code(run_demo(arguments))
 }
 
-fn play(arguments: &Arguments) -> Result<Outcome, CommandError> {
-    let say = |text: &str| {
+fn run_demo(arguments: &Arguments) -> Result<Outcome, CommandError> {
+    let print = |text: &str| {
         if !arguments.json {
             println!("{text}");
         }
     };
-    say("building what is missing, then starting discovery, log servers and sidecars ...");
+    print("building missing programs, then starting discovery, log servers and sidecars ...");
     let mut host = start_host(arguments)?;
     let started = Instant::now();
     let duration = Duration::from_secs(arguments.seconds.clamp(5, 3600));
     let load = host.start_load(&load(arguments));
     let file = host.spec_path().display().to_string();
-    say(&format!("{} sidecars serve, as {file} says", host.instances().len()));
+    print(&format!("{} sidecars are serving; configuration: {file}", host.instances().len()));
 
     let pause = duration / (STEPS.len() as u32 + 1);
     for (n, step) in STEPS.iter().enumerate() {
         let due = pause * (n as u32 + 1);
         std::thread::sleep(due.saturating_sub(started.elapsed()));
-        // The daemon rejects a reload while another one is in progress.
+        // The daemon rejects a reload during a rollout.
         wait_until_settled(&host)?;
-        say(&format!("\n{:>5.1} s: {}", started.elapsed().as_secs_f64(), step.title));
+        print(&format!("\n{:>5.1} s: {}", started.elapsed().as_secs_f64(), step.title));
         (step.run)(&mut host)?;
         if !arguments.json {
             table::account(&host.account().report());
@@ -105,7 +105,7 @@
         print_report(&host, &report, started.elapsed());
     }
     let passed = report.violations() == 0 && report.refused_connections == 0 && report.served() > 0;
-    say(if passed { "no rule was broken" } else { "A RULE WAS BROKEN" });
+    print(if passed { "passed" } else { "FAILED" });
     Ok(Outcome::of(passed))
 }
 
@@ -170,12 +170,12 @@
     host.change_settings(|settings| settings["classes"][0]["deadline"] = 0.into())?;
     match host.ask(&Request::Reload) {
         Err(_) => Ok(()),
-        Ok(_) => Err("the broken desired was taken".into()),
+        Ok(_) => Err("an invalid configuration was accepted".into()),
     }
 }
 
 fn print_report(host: &Host, report: &Report, elapsed: Duration) {
-    println!("\nthe account, after {:.1} s", elapsed.as_secs_f64());
+    println!("\nreport after {:.1} s", elapsed.as_secs_f64());
     table::account(report);
     println!();
     table::servers(report);
--- a/crates/lbctl/src/fleet.rs
+++ b/crates/lbctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: requests to the daemon of a host.
+//! `lbctl fleet`: requests to the daemon of a host.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,19 +11,19 @@
 use crate::outcome::{STATUS_ERROR, STATUS_FAILED, print_error};
 use crate::table;
 
-/// The time between two polls of the daemon.
+/// The time between two status requests to the daemon.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The arguments of `fleet`.
 #[derive(Args)]
 pub struct Arguments {
-    /// Where the daemon's state lies.
+    /// The state directory of the daemon.
     #[arg(long, default_value_os_t = fleet::paths::default_state(), global = true)]
     state: PathBuf,
-    /// Answer in JSON.
+    /// Print the answer as JSON.
     #[arg(long, global = true)]
     json: bool,
-    /// Wait until all serve what was asked for, or it has gone back; at most so many seconds.
+    /// Wait for at most this time until all instances run the requested generation or it is rolled back.
     #[arg(long, global = true, value_name = "SECONDS")]
     wait: Option<u64>,
     #[command(subcommand)]
@@ -32,35 +32,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How every instance is.
+    /// Show the state of all instances.
     Status,
-    /// What happened.
+    /// Show the recent events.
     History,
-    /// Read fleet.toml again. It is checked first; what is broken changes nothing.
+    /// Reload fleet.toml. It is checked first; an invalid file changes nothing.
     Reload,
-    /// Put the program in force that lies at its path now.
+    /// Roll out the current program file.
     Upgrade {
-        /// Another program.
+        /// Use the program at this path instead.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Go back from a rollout that runs to what ran before.
+    /// Roll back the rollout in progress.
     Rollback,
-    /// Take an instance out, until it is restarted.
+    /// Drain an instance. It stays drained until it is restarted.
     Drain {
-        /// Its name.
+        /// The name of the instance.
         instance: String,
     },
-    /// Put a successor in an instance's place, without a refused connection.
+    /// Replace an instance by a successor process, without refusing connections.
     Restart {
-        /// Its name; without it, all.
+        /// The name of the instance. Default: all instances.
         instance: Option<String>,
     },
-    /// Another number of instances, until the next reload.
+    /// Change the number of instances of a template until the next reload.
     Scale {
-        /// The template's name.
+        /// The name of the template.
         template: String,
-        /// How many.
+        /// The number of instances.
         count: usize,
     },
 }
@@ -86,7 +86,7 @@
 pub fn run(arguments: Arguments) -> ExitCode {
     let Arguments { state, json, wait, command } = arguments;
     let request = command.into_request();
-    // The first request tells a missing daemon from one that rejects the second.
+    // The first request distinguishes a missing daemon from one that rejects the second request.
     if let Err(error) = ask(&state, &Request::Status) {
         print_error(&error);
         return ExitCode::from(STATUS_ERROR);
@@ -113,11 +113,11 @@
     }
 }
 
-/// Waits until all instances serve the target generation. That the target has become another one than `answer`
-/// names is a failure: the change was rolled back.
+/// Waits until all instances serve the target generation. Fails if the target is no longer the generation in `answer`,
+/// because the change was then rolled back.
 fn wait_until_settled(state: &Path, answer: &Value, timeout: Duration) -> ExitCode {
     let deadline = Instant::now() + timeout;
-    let wanted = answer["generation"].as_u64();
+    let requested = answer["generation"].as_u64();
     while Instant::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
         let Ok(status) = ask(state, &Request::Status) else { continue };
@@ -125,7 +125,7 @@
             continue;
         }
         let target = status["target"].as_u64();
-        if wanted.is_some_and(|wanted| target != Some(wanted)) {
+        if requested.is_some_and(|requested| target != Some(requested)) {
             print_error(&rollback_reason(state));
             return ExitCode::from(STATUS_FAILED);
         }
@@ -145,11 +145,11 @@
             && instance["generation"].as_u64() == target)
 }
 
-/// The last entry of the daemon's history that tells of a rollback.
+/// Returns the last entry of the daemon's history that reports a rollback.
 fn rollback_reason(state: &Path) -> String {
     let history = ask(state, &Request::History).unwrap_or_default();
     let entries = history.as_array().cloned().unwrap_or_default();
     let rollback = entries.iter().rev().find(|entry| entry.to_string().contains("goes back"));
     let reason = rollback.and_then(|entry| entry["what"].as_str());
-    reason.unwrap_or("it went back").to_owned()
+    reason.unwrap_or("the change was rolled back").to_owned()
 }
--- a/crates/lbctl/src/main.rs
+++ b/crates/lbctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `lbctl`, the operators' command.
+//! `lbctl`, the command line tool for operators.
 #![forbid(unsafe_code)]
 
 mod config;
@@ -15,9 +15,9 @@
 
 use clap::{Parser, Subcommand};
 
-/// Looks after fleets of sidecars.
+/// Operates and tests fleets of sidecars.
 ///
-/// Status 0: done. 1: refused, rolled back, or a rule was broken. 2: not understood, or nobody there.
+/// Exit status 0: success. 1: rejected, rolled back, or a check failed. 2: invalid command, or no answer.
 #[derive(Parser)]
 #[command(name = "lbctl", version)]
 struct Arguments {
@@ -27,19 +27,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Ask the daemon of a fleet.
+    /// Send requests to the daemon of a fleet.
     Fleet(fleet::Arguments),
-    /// Play a whole host on loopback: a small fleet under load, reloaded, upgraded and killed.
+    /// Run a small fleet on loopback under load, with reloads, a killed sidecar and a killed daemon.
     Demo(demo::Arguments),
-    /// Play many sidecars with faults between them, as a file says.
+    /// Run many sidecars with injected faults, as described by a scenario file.
     Trial(trial::Arguments),
-    /// Publish changes of configuration, and see where they are in force.
+    /// Publish configuration changes and show where they are in force.
     Config(config::Arguments),
-    /// Play thousands of hollow sidecars beside real ones.
+    /// Run thousands of hollow sidecars, which serve no requests, beside real ones.
     Scale(scale::Arguments),
-    /// Play many sidecars under drawn faults that overlap, one run for each seed.
+    /// Run many sidecars under random overlapping faults, one run per seed.
     Soak(soak::Arguments),
-    /// What sidecars know of their tier, and where they differ.
+    /// Show the gossip state of sidecars and where it differs.
     Tier(tier::Arguments),
 }
 
--- a/crates/lbctl/src/outcome.rs
+++ b/crates/lbctl/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a command, its errors and its exit status.
+//! Outcomes, errors and exit statuses of commands.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -7,51 +7,51 @@
 use fakes::program::ProgramError;
 use fault_injection::testbed::TestbedError;
 
-/// Exit status: something was refused, rolled back, or did not hold.
+/// The exit status if a request was rejected, a change was rolled back or a check failed.
 pub const STATUS_FAILED: u8 = 1;
-/// Exit status: the command was not understood, or nobody answers.
+/// The exit status if the command is invalid or cannot be carried out, for example because there is no answer.
 pub const STATUS_ERROR: u8 = 2;
 
-/// Whether what a command has checked holds.
+/// The outcome of the checks of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It holds.
+    /// All checks passed.
     Passed,
-    /// It does not.
+    /// A check failed.
     Failed,
 }
 
 impl Outcome {
-    /// The outcome of a check.
+    /// Creates an outcome from whether the checks passed.
     pub fn of(passed: bool) -> Outcome {
         if passed { Outcome::Passed } else { Outcome::Failed }
     }
 }
 
-/// Why a command could not be carried out.
+/// An error of a command that could not be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A file could not be read, written or understood.
+    /// A file could not be read, written or parsed.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The cause.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// A program of the workspace is missing.
+    /// A program of the workspace is missing or could not be built.
     #[error(transparent)]
     Program(#[from] ProgramError),
-    /// A fault-injection run could not be played.
+    /// A fault-injection run could not be carried out.
     #[error(transparent)]
     Testbed(#[from] TestbedError),
-    /// Anything else.
+    /// Any other error.
     #[error(transparent)]
     Other(#[from] Box<dyn Error + Send + Sync>),
 }
 
 impl CommandError {
-    /// A constructor of errors about this file.
+    /// Returns a function that attributes an error to the file at `path`.
     pub fn file<E: Into<Box<dyn Error + Send + Sync>>>(path: &Path) -> impl Fn(E) -> CommandError {
         move |error| CommandError::File { path: path.to_owned(), source: error.into() }
     }
@@ -62,7 +62,7 @@
     eprintln!("lbctl: {error}");
 }
 
-/// The exit status of a command; prints its error, if there is one.
+/// Returns the exit status of a command. Prints its error, if there is one.
 pub fn exit_code(result: Result<Outcome, CommandError>) -> ExitCode {
     match result {
         Ok(Outcome::Passed) => ExitCode::SUCCESS,
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 ///
-/// When it cannot be read or parsed, with its path.
+/// Fails with the path if the file cannot be read or parsed.
 pub fn parse_file<T, E: Into<Box<dyn Error + Send + Sync>>>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, E>,
--- a/crates/lbctl/src/scale.rs
+++ b/crates/lbctl/src/scale.rs
@@ -1,4 +1,5 @@
-//! `scale`: scale tests with thousands of hollow sidecars, played from plan files; one run, or a fit over sizes.
+//! `lbctl scale`: scale tests with thousands of hollow sidecars, described by plan files. A test is run at one size, or
+//! at several sizes with lines fitted to its metrics.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -12,8 +13,9 @@
 
 use crate::outcome::{CommandError, Outcome, exit_code, parse_file};
 
-/// The most plays of one command.
-const MAX_PLAYS: usize = 20;
+/// The maximum number of runs of one command.
+const MAX_RUNS: usize = 20;
+/// The terminal sequence that returns to the start of the line and clears it.
 const CLEAR_LINE: &str = "\r\x1b[K";
 const KIB_PER_MIB: f64 = 1024.0;
 
@@ -28,34 +30,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a run. Status 0: all that is expected held.
+    /// Run a scale test. Exit status 0: all expectations hold.
     Run {
-        /// The run's file.
+        /// The plan file.
         file: PathBuf,
-        /// So many sidecars instead of the file's own.
+        /// The number of hollow sidecars, instead of that in the file.
         #[arg(long)]
         sidecars: Option<usize>,
-        /// So many plays.
+        /// The number of runs.
         #[arg(long, default_value_t = 1)]
         plays: usize,
-        /// Print a JSON line for each play.
+        /// Print one JSON line per run.
         #[arg(long)]
         json: bool,
     },
-    /// Play a run at several sizes, and fit its figures against the sidecars.
+    /// Run a scale test at several sizes, and fit lines to its metrics over the number of sidecars.
     Slopes {
-        /// The run's file.
+        /// The plan file.
         file: PathBuf,
-        /// The sizes.
+        /// The numbers of hollow sidecars.
         #[arg(long, value_delimiter = ',', default_value = "300,600,1200,2400,4800")]
         sizes: Vec<usize>,
     },
-    /// A process of hollow sidecars; started by `run`.
+    /// Run a process of hollow sidecars. Started by `run`.
     #[command(hide = true)]
     Hollow,
 }
 
-/// How a run is shown.
+/// The output format of a run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Format {
     Table,
@@ -67,7 +69,7 @@
     exit_code(match &arguments.command {
         Command::Run { file, sidecars, plays, json } => {
             let format = if *json { Format::Json } else { Format::Table };
-            run_plays(file, *sidecars, *plays, format)
+            run_repeatedly(file, *sidecars, *plays, format)
         }
         Command::Slopes { file, sizes } => fit_sizes(file, sizes),
         Command::Hollow => run_hollow(),
@@ -83,7 +85,7 @@
     parse_file(file, |text| Plan::parse(text, sidecars))
 }
 
-fn run_plays(
+fn run_repeatedly(
     file: &Path,
     sidecars: Option<usize>,
     plays: usize,
@@ -91,7 +93,7 @@
 ) -> Result<Outcome, CommandError> {
     let plan = read(file, sidecars)?;
     let mut passed = true;
-    for _ in 0..plays.clamp(1, MAX_PLAYS) {
+    for _ in 0..plays.clamp(1, MAX_RUNS) {
         let report = run_once(&plan, format)?;
         passed &= report.failures.is_empty();
         match format {
@@ -102,11 +104,11 @@
     Ok(Outcome::of(passed))
 }
 
-/// Plays a run once. Its progress goes to one line of the terminal, or else to lines of the output.
+/// Runs a plan once. Its progress is printed to a single line of the terminal, or as lines to standard output.
 fn run_once(plan: &Plan, format: Format) -> Result<Report, CommandError> {
-    let own = std::env::current_exe().map_err(OtherError::from)?;
+    let own_program = std::env::current_exe().map_err(OtherError::from)?;
     let on_terminal = format == Format::Table && std::io::stderr().is_terminal();
-    let report = runner::run(plan, &own, |line| {
+    let report = runner::run(plan, &own_program, |line| {
         if on_terminal {
             eprint!("{CLEAR_LINE}{line}");
         } else if format == Format::Table {
@@ -123,20 +125,21 @@
 
 fn print_report(report: &Report) {
     println!(
-        "\n{} hollow and {} real sidecars, started after {:.1} s",
+        "\n{} hollow and {} real sidecars; first change in force everywhere after {:.1} s",
         report.sidecar_count, report.real_sidecar_count, report.start_s
     );
     for change in &report.changes {
-        let took =
-            change.propagation_s.map_or("NOT IN FORCE AT ALL".to_owned(), |s| format!("{s:.2} s"));
-        println!("  change at {:>6.1} s: {took} {}", change.at_s, change.active_faults);
+        let propagation = change
+            .propagation_s
+            .map_or("NOT IN FORCE EVERYWHERE".to_owned(), |s| format!("{s:.2} s"));
+        println!("  change at {:>6.1} s: {propagation} {}", change.at_s, change.active_faults);
     }
     for (name, value) in &report.metrics {
         println!("{name:<32}{value:>12.3}");
     }
     print_costs(report);
     for failure in &report.failures {
-        println!("NOT HELD: {failure}");
+        println!("expectation failed: {failure}");
     }
 }
 
@@ -157,7 +160,7 @@
     }
 }
 
-/// Plays a run at several sizes, and prints lines fitted to its metrics over the sidecars.
+/// Runs a plan at several sizes, and prints lines fitted to its metrics over the number of sidecars.
 fn fit_sizes(file: &Path, sizes: &[usize]) -> Result<Outcome, CommandError> {
     let mut reports = Vec::new();
     for size in sizes {
@@ -165,14 +168,14 @@
         print_report(&report);
         reports.push(report);
     }
-    println!("\n{:<40}{:>14}{:>14}  residuals", "figure", "base", "each sidecar");
+    println!("\n{:<40}{:>14}{:>14}  residuals", "figure", "base", "per sidecar");
     print_fits(&reports);
     Ok(Outcome::of(reports.iter().all(|report| report.failures.is_empty())))
 }
 
 fn print_fits(reports: &[Report]) {
     let print = |name: &str, value: &dyn Fn(&Report) -> f64| print_fit(reports, name, value);
-    print("in force, s", &|r| r.metrics["in_force_s"]);
+    print("propagation, s", &|r| r.metrics["in_force_s"]);
     print("start, s", &|r| r.start_s);
     for role in ["control", "origin"] {
         print(&format!("{role}: CPU quiet, share"), &|r| r.costs[role].cpu_quiet_max);
@@ -181,11 +184,9 @@
             r.costs[role].rss_kib_max as f64 / KIB_PER_MIB
         });
     }
-    print("a hollow sidecar: CPU quiet, share", &|r| r.costs["hollow"].cpu_quiet);
-    print("a hollow sidecar: resident, MB", &|r| {
-        r.costs["hollow"].rss_kib_mean as f64 / KIB_PER_MIB
-    });
-    print("loopback bytes a second and sidecar", &|r| r.metrics["loopback_bytes_per_s_quiet"]);
+    print("hollow sidecar: CPU quiet, share", &|r| r.costs["hollow"].cpu_quiet);
+    print("hollow sidecar: resident, MB", &|r| r.costs["hollow"].rss_kib_mean as f64 / KIB_PER_MIB);
+    print("loopback bytes per s and sidecar", &|r| r.metrics["loopback_bytes_per_s_quiet"]);
 }
 
 fn print_fit(reports: &[Report], name: &str, value: &dyn Fn(&Report) -> f64) {
--- a/crates/lbctl/src/table.rs
+++ b/crates/lbctl/src/table.rs
@@ -1,4 +1,4 @@
-//! Prints answers as tables.
+//! Tables of status, history and reports.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,7 +13,7 @@
     }
 }
 
-/// Prints the status of a fleet's daemon: a few lines about all, then one for each instance.
+/// Prints the status of a daemon: some lines about the fleet, then one line per instance.
 pub fn status(status: &Value) {
     println!(
         "daemon {} (process {}), generation {} of {}",
@@ -24,7 +24,7 @@
     );
     if !status["rollout"].is_null() {
         let stage = if status["rollout"]["waves"] == true { "in waves" } else { "at the canary" };
-        println!("a rollout runs, {stage}: {}", text(&status["rollout"]["canaries"]));
+        println!("rollout in progress, {stage}: {}", text(&status["rollout"]["canaries"]));
     }
     if !status["trouble"].is_null() {
         println!("trouble: {}", text(&status["trouble"]));
@@ -62,7 +62,7 @@
     );
 }
 
-/// Prints the history of a fleet's daemon: a line for each entry, with its age.
+/// Prints the history of a daemon: one line per entry, with its age.
 pub fn history(history: &Value) {
     let now_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     for entry in history.as_array().into_iter().flatten() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Prints what became of all requests, by class.
+/// Prints the outcomes of all requests, by class.
 pub fn account(report: &Report) {
     println!(
         "{:14} {:>7} {:>7} {:>8} {:>7} {:>5} {:>9} {:>9} {:>9}",
@@ -93,7 +93,7 @@
     }
 }
 
-/// Prints what each server did.
+/// Prints the request counts of each server.
 pub fn servers(report: &Report) {
     println!("{:14} {:>7} {:>7} {:>11} {:>8}", "server", "came", "ran", "turned away", "dropped");
     for (name, s) in &report.servers {
@@ -104,17 +104,17 @@
     }
 }
 
-/// Prints how often each rule was broken.
+/// Prints the number of violations of each rule, and examples.
 pub fn rules(report: &Report) {
-    println!("lost                     {:>5}", report.lost);
-    println!("held by killed processes {:>5}", report.lost_by_kill);
-    println!("late                     {:>5}", report.timed_out);
-    println!("doubled orders           {:>5}", report.duplicated_non_idempotent);
-    println!("doubled uploads          {:>5}", report.duplicated_keyed);
-    println!("refused, but ran         {:>5}", report.rejected_but_executed);
-    println!("sent after the answer    {:>5}", report.after_answer);
-    println!("wrong answers            {:>5}", report.wrong_body);
-    println!("refused connections      {:>5}", report.refused_connections);
+    println!("lost                            {:>5}", report.lost);
+    println!("lost by killed processes        {:>5}", report.lost_by_kill);
+    println!("timed out                       {:>5}", report.timed_out);
+    println!("duplicated non-idempotent       {:>5}", report.duplicated_non_idempotent);
+    println!("duplicated with idempotency key {:>5}", report.duplicated_keyed);
+    println!("rejected but executed           {:>5}", report.rejected_but_executed);
+    println!("sent after the answer           {:>5}", report.after_answer);
+    println!("wrong response body             {:>5}", report.wrong_body);
+    println!("refused connections             {:>5}", report.refused_connections);
     for example in &report.examples {
         println!("  {example}");
     }
--- a/crates/lbctl/src/tier.rs
+++ b/crates/lbctl/src/tier.rs
@@ -1,4 +1,4 @@
-//! `tier`: what sidecars know of their gossip group, each by its own admin listener, and where they differ.
+//! `lbctl tier`: the gossip state of sidecars, read from their admin listeners, and the differences between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -11,49 +11,49 @@
 
 use crate::outcome::{STATUS_ERROR, print_error};
 
-/// How long a sidecar may take to answer.
+/// The time within which a sidecar must connect and answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest answer that is read, in bytes.
+/// The maximum length of an answer, in bytes. The rest is ignored.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
-/// What the names of the metrics begin with.
+/// The prefix of the metrics of the gossip group.
 const METRIC_PREFIX: &str = "sidecar.tier.";
-/// The beginnings of the names of metrics that all sidecars should agree on. Others count what each sidecar does, so
-/// that a difference between them says nothing.
+/// The name prefixes of the metrics on which all sidecars should agree. The other metrics count the activity of each
+/// sidecar and are expected to differ.
 const SHARED_METRICS: [&str; 5] = ["reach", "members", "gone", "asked_per_s", "quota_per_s"];
 
 /// The arguments of `tier`.
 #[derive(Args)]
 pub struct Arguments {
-    /// Operators' listeners of sidecars (`admin_addr`).
+    /// The admin listeners of the sidecars (`admin_addr`).
     #[arg(required = true)]
     at: Vec<SocketAddr>,
     /// Print JSON.
     #[arg(long)]
     json: bool,
-    /// List every member, also where all views agree.
+    /// List all members, even those on which all sidecars agree.
     #[arg(long)]
     members: bool,
 }
 
-/// What one sidecar knows.
+/// The gossip state of one sidecar.
 struct View {
     address: SocketAddr,
-    /// Its metrics, without their prefix.
+    /// The metrics, by name without [`METRIC_PREFIX`].
     metrics: BTreeMap<String, f64>,
     /// The members by their number.
     members: BTreeMap<u32, Member>,
 }
 
-/// What a sidecar knows of a member.
+/// A sidecar's state of a member.
 struct Member {
-    /// Such as `alive` or `suspect`.
+    /// The presence, such as `alive` or `suspect`.
     presence: String,
     incarnation: u64,
-    /// How long the presence has been so, in milliseconds.
+    /// The time since the presence last changed, in milliseconds.
     since_ms: u64,
 }
 
-/// Why a sidecar's view is missing.
+/// The error of a view that could not be fetched.
 #[derive(Debug, thiserror::Error)]
 enum ViewError {
     #[error(transparent)]
@@ -105,13 +105,13 @@
     }
 }
 
-/// A line such as `sidecar.tier.members=4`.
+/// Parses a line such as `sidecar.tier.members=4`.
 fn parse_metric(line: &str) -> Option<(String, f64)> {
     let (name, value) = line.strip_prefix(METRIC_PREFIX)?.split_once('=')?;
     Some((name.to_owned(), value.parse().ok()?))
 }
 
-/// A line such as `member.3=alive,1,2500`.
+/// Parses a line such as `member.3=alive,1,2500`.
 fn parse_member(line: &str) -> Option<(u32, Member)> {
     let (number, rest) = line.strip_prefix("member.")?.split_once('=')?;
     let mut words = rest.split(',');
@@ -143,7 +143,7 @@
     views.iter().flat_map(|view| view.members.keys().copied()).collect()
 }
 
-/// The members whose presence is not the same in all views.
+/// Returns the members whose presence differs between views.
 fn differing_members(views: &[View]) -> BTreeSet<u32> {
     let differs = |member: &u32| {
         views.windows(2).any(|pair| pair[0].presence(*member) != pair[1].presence(*member))
@@ -181,7 +181,7 @@
 fn print_members(views: &[View], all: bool) {
     let differing = differing_members(views);
     if views.len() > 1 {
-        println!("\nmembers whom not all have alike: {}", differing.len());
+        println!("\nmembers whose presence differs between sidecars: {}", differing.len());
     }
     let listed = if all { all_members(views) } else { differing };
     for number in listed {
--- a/crates/lbctl/src/trial.rs
+++ b/crates/lbctl/src/trial.rs
@@ -1,4 +1,4 @@
-//! `trial`: fault-injection runs with many real sidecars, played from scenario files.
+//! `lbctl trial`: fault-injection runs with many real sidecars, described by scenario files.
 
 use std::fs::File;
 use std::io::{IsTerminal, Write};
@@ -15,9 +15,10 @@
 
 use crate::outcome::{CommandError, Outcome, exit_code, parse_file};
 
-/// The longest text of an action in the table, in characters.
+/// The length to which the text of an action is cut in the table, in characters.
 const MAX_ACTION_CHARS: usize = 120;
-/// The least time between two lines of the table, in seconds. Samples are not exactly on time.
+/// The minimum time between two lines of the table, in seconds. It is below 1 s because the times of samples vary
+/// slightly.
 const LINE_INTERVAL_S: f64 = 0.95;
 const BOLD: &str = "\x1b[1m";
 const PLAIN: &str = "\x1b[0m";
@@ -31,57 +32,57 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a trial. Status 0: all that must hold held.
+    /// Run a trial. Exit status 0: it passed.
     Run(RunArguments),
-    /// Check trials' files without playing them.
+    /// Check scenario files without running them.
     Check {
-        /// The files.
+        /// The scenario files.
         files: Vec<PathBuf>,
     },
 }
 
 #[derive(Args)]
 struct RunArguments {
-    /// The trial's file.
+    /// The scenario file.
     file: PathBuf,
-    /// Draw from this instead of the file's own seed.
+    /// The seed, instead of that in the file.
     #[arg(long)]
     seed: Option<u64>,
-    /// Write one page with plots there.
+    /// Write an HTML report with plots to this file.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// Write the plan and all looks there, as JSON lines.
+    /// Write the plan and all samples to this file, as JSON lines.
     #[arg(long, value_name = "FILE")]
     journal: Option<PathBuf>,
     /// Print JSON lines instead of a table.
     #[arg(long)]
     json: bool,
-    /// Another program for the sidecars.
+    /// The program of the sidecars, instead of the built one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Put this into the configurations of all sidecars, key by key, after the file's own.
-    #[arg(long, value_name = "JSON", value_parser = json_object)]
+    /// Merge this object into the configurations of all sidecars, after the patches of the file.
+    #[arg(long, value_name = "JSON", value_parser = parse_json_object)]
     set: Option<Value>,
 }
 
-/// Why a value on the command line is no JSON object.
+/// The error of an argument that is not a JSON object.
 #[derive(Debug, thiserror::Error)]
 enum JsonObjectError {
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
-    #[error("an object expected")]
-    NoObject,
+    #[error("must be a JSON object")]
+    NotAnObject,
 }
 
-fn json_object(text: &str) -> Result<Value, JsonObjectError> {
+fn parse_json_object(text: &str) -> Result<Value, JsonObjectError> {
     let value: Value = serde_json::from_str(text)?;
-    if value.is_object() { Ok(value) } else { Err(JsonObjectError::NoObject) }
+    if value.is_object() { Ok(value) } else { Err(JsonObjectError::NotAnObject) }
 }
 
 /// Runs the command.
 pub fn run(arguments: &Arguments) -> ExitCode {
     exit_code(match &arguments.command {
-        Command::Run(arguments) => play(arguments),
+        Command::Run(arguments) => run_scenario(arguments),
         Command::Check { files } => check(files),
     })
 }
@@ -97,7 +98,7 @@
     parse_file(file, |text| Scenario::parse(text, seed))
 }
 
-fn play(arguments: &RunArguments) -> Result<Outcome, CommandError> {
+fn run_scenario(arguments: &RunArguments) -> Result<Outcome, CommandError> {
     let mut scenario = read(&arguments.file, arguments.seed)?;
     if let Some(patch) = arguments.set.clone() {
         let sidecars = (0..scenario.sidecar_count).collect();
@@ -116,10 +117,10 @@
     Ok(Outcome::of(outcome.passed))
 }
 
-/// Where the progress of a run goes.
+/// The outputs for the progress of a run.
 struct Output {
     journal: Option<File>,
-    /// None: JSON lines are printed.
+    /// The table on standard output. `None` means that JSON lines are printed.
     table: Option<Table>,
 }
 
@@ -134,7 +135,7 @@
     fn show(&mut self, progress: &Progress<'_>) {
         let line = serde_json::to_string(progress).unwrap_or_default();
         if let Some(journal) = &mut self.journal {
-            // A journal that cannot be written does not end the run.
+            // Errors of the journal are ignored, so that they do not end the run.
             let _ = writeln!(journal, "{line}");
         }
         match &mut self.table {
@@ -144,9 +145,9 @@
     }
 }
 
-/// A table with a line for each second and for each event.
+/// A table with one line per second and one per event.
 struct Table {
-    /// The sample of the last line.
+    /// The last sample that was printed. `None` before the first sample.
     last: Option<Sample>,
     sidecar_count: u16,
 }
@@ -208,16 +209,16 @@
         println!("  {text}");
     }
     let violations = outcome.account.violations();
-    let summary = if outcome.passed { "all held" } else { "IT DID NOT HOLD" };
+    let summary = if outcome.passed { "trial passed" } else { "TRIAL FAILED" };
     let served = outcome.account.served();
-    println!("{bold}{summary}{plain}; rules broken: {violations}, served {served}");
+    println!("{bold}{summary}{plain}; violations: {violations}, served {served}");
 }
 
 fn show_verdict(verdict: &Verdict, bold: &str, plain: &str) {
     let held = if verdict.passed { "held" } else { "NOT HELD" };
     let reason = verdict.reason.as_deref().map_or_else(String::new, |r| format!(": {r}"));
     println!(
-        "line {:>3} {bold}{held:8}{plain} {} ({:.3} to {:.3}, {} looks){reason}",
+        "line {:>3} {bold}{held:8}{plain} {} ({:.3} to {:.3}, {} observations){reason}",
         verdict.line, verdict.metric, verdict.min, verdict.max, verdict.observations
     );
 }
