--- a/crates/local-cluster/examples/fleet_of.rs
+++ b/crates/local-cluster/examples/fleet_of.rs
@@ -1,5 +1,7 @@
-//! Measures a fleet: what it costs when idle and under load, how long a full rollout takes, and what its clients see of
-//! it. `cargo run --release -p local-cluster --example fleet_of -- 200 5`
+//! Measures a fleet: its memory and processor time when idle and under load, the duration of full rollouts, and the
+//! latencies that clients see during them.
+//!
+//! `cargo run --release -p local-cluster --example fleet_of -- INSTANCES REQUESTS_PER_S`, by default 200 and 5.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +12,12 @@
 use local_cluster::{Host, Plan, process_usage};
 use serde_json::Value;
 
-/// How long costs are measured.
-const SPAN: Duration = Duration::from_secs(15);
-/// How long load runs before anything is measured.
+/// The time over which processor time is measured.
+const MEASUREMENT_PERIOD: Duration = Duration::from_secs(15);
+/// The time that load runs before anything is measured.
 const WARM_UP: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_secs(300);
+/// The time within which the fleet must settle.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(300);
 
 type Error = Box<dyn std::error::Error>;
 
@@ -32,53 +35,53 @@
     };
     let started = Instant::now();
     let mut host = Host::start(plan)?;
-    host.wait_until_settled(PATIENCE)?;
+    host.wait_until_settled(SETTLE_TIMEOUT)?;
     println!("{instances} instances serve after {:.1} s", started.elapsed().as_secs_f64());
-    print_costs(&mut host, "at rest");
+    print_costs(&mut host, "idle");
 
     let load =
         Load { rate, tenants: World::tenants(), slack: Duration::from_secs(5), ..Load::default() };
     let load = host.start_load(&load);
     std::thread::sleep(WARM_UP);
     host.account().take_latencies();
-    print_costs(&mut host, &format!("at {rate} requests a second each"));
-    let usual = host.account().take_latencies();
-    print_latencies("usual", &usual);
+    print_costs(&mut host, &format!("at {rate} requests per second and instance"));
+    let baseline = host.account().take_latencies();
+    print_latencies("baseline", &baseline);
 
-    measure_rollout(&host, &usual, "full reload by successors", |settings| {
+    measure_rollout(&host, &baseline, "full reload with successors", |settings| {
         settings["goal"]["whole"] = 0.44.into();
     })?;
-    measure_rollout(&host, &usual, "full reload, live", |settings| {
+    measure_rollout(&host, &baseline, "full reload, live", |settings| {
         settings["classes"][0]["aim"] = 590_000.into();
     })?;
     load.stop();
     print_report(&host.account().report())
 }
 
-/// Reloads with other settings, and prints how long that takes and what it does to latencies.
+/// Reloads with changed settings, and prints the duration of the rollout and the latencies during it.
 fn measure_rollout(
     host: &Host,
-    usual: &[ClassReport],
+    baseline: &[ClassReport],
     title: &str,
     change: impl FnOnce(&mut Value),
 ) -> Result<(), Error> {
     let started = Instant::now();
     host.change_settings(change)?;
     host.ask(&Request::Reload)?;
-    host.wait_until_settled(PATIENCE)?;
-    println!("{title}: {:.1} s", started.elapsed().as_secs_f64());
-    let meanwhile = host.account().take_latencies();
-    print_latencies("meanwhile", &meanwhile);
-    for (usual, class) in usual.iter().zip(&meanwhile) {
-        let difference_ms = class.max_ms - usual.p99_ms;
-        println!("  {:12} most {difference_ms:+.1} ms against the usual p99", class.name);
+    host.wait_until_settled(SETTLE_TIMEOUT)?;
+    println!("{title}: settled after {:.1} s", started.elapsed().as_secs_f64());
+    let during = host.account().take_latencies();
+    print_latencies("during rollout", &during);
+    for (baseline, class) in baseline.iter().zip(&during) {
+        let difference_ms = class.max_ms - baseline.p99_ms;
+        println!("  {:12} max {difference_ms:+.1} ms against the baseline p99", class.name);
     }
     Ok(())
 }
 
 fn print_report(report: &Report) -> Result<(), Error> {
     println!(
-        "{} asked, {} served; lost {}, late {}, doubled {}, refused connections {}, crossed {}",
+        "{} requests, {} served; lost {}, timed out {}, duplicated {}, refused connections {}, close races {}",
         report.requested(),
         report.served(),
         report.lost,
@@ -90,24 +93,24 @@
     for example in &report.examples {
         println!("  {example}");
     }
-    if report.violations() == 0 { Ok(()) } else { Err("a rule was broken".into()) }
+    if report.violations() == 0 { Ok(()) } else { Err("a rule was violated".into()) }
 }
 
-/// Prints memory and processor time of the daemon and of the mean instance.
-fn print_costs(host: &mut Host, what: &str) {
+/// Prints the memory and processor time of the daemon, and the means of those of the instances.
+fn print_costs(host: &mut Host, phase: &str) {
     let pids: Vec<u32> = host.pids().into_values().collect();
     let daemon = host.daemon().map(|d| d.id()).unwrap_or_default();
     let usage = |pid: &u32| process_usage(*pid).unwrap_or_default();
     let before: f64 = pids.iter().map(|p| usage(p).cpu_s).sum();
     let daemon_before = usage(&daemon).cpu_s;
-    std::thread::sleep(SPAN);
+    std::thread::sleep(MEASUREMENT_PERIOD);
     let after: f64 = pids.iter().map(|p| usage(p).cpu_s).sum();
     let memory: u64 = pids.iter().map(|p| usage(p).rss_kib).sum();
     let each = pids.len().max(1) as f64;
-    let percent = |cpu: f64| cpu / SPAN.as_secs_f64() * 100.0;
+    let percent = |cpu: f64| cpu / MEASUREMENT_PERIOD.as_secs_f64() * 100.0;
     let daemon_after = usage(&daemon);
     println!(
-        "{what}: an instance {:.1} MB, {:.3} % of a core; the daemon {:.1} MB, {:.2} %",
+        "{phase}: instance {:.1} MB, {:.3} % of a core; daemon {:.1} MB, {:.2} % of a core",
         memory as f64 / each / 1024.0,
         percent(after - before) / each,
         daemon_after.rss_kib as f64 / 1024.0,
@@ -115,10 +118,10 @@
     );
 }
 
-fn print_latencies(what: &str, classes: &[ClassReport]) {
+fn print_latencies(phase: &str, classes: &[ClassReport]) {
     for c in classes {
         println!(
-            "  {:12} {what}: {} served, p50 {:.1} ms, p99 {:.1} ms, most {:.1} ms",
+            "  {:12} {phase}: {} served, p50 {:.1} ms, p99 {:.1} ms, max {:.1} ms",
             c.name, c.served, c.p50_ms, c.p99_ms, c.max_ms
         );
     }
--- a/crates/local-cluster/examples/hang_of.rs
+++ b/crates/local-cluster/examples/hang_of.rs
@@ -1,9 +1,8 @@
-//! Measures how soon a hung instance is replaced on a host without a free processor, and whether a healthy one is ever
-//! replaced there.
+//! Measures the time until a hung instance is replaced on a host without free processors, and counts replacements of
+//! healthy instances.
 //!
-//! `cargo run --release -p local-cluster --example hang_of -- INSTANCES SECONDS`: every few seconds one
-//! instance is paused (SIGSTOP) while twice as many threads as there are processors are busy, and each instance gets 2
-//! requests per second.
+//! `cargo run --release -p local-cluster --example hang_of -- INSTANCES SECONDS` pauses one instance (SIGSTOP) every
+//! [`INTERVAL`], while busy threads, two per processor, run and each instance gets 2 requests per second.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,8 +18,9 @@
 
 /// The time between two pauses of instances.
 const INTERVAL: Duration = Duration::from_secs(10);
-/// How long the replacement of an instance may take.
+/// The time within which an instance must be replaced.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time within which all instances must serve.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 type Error = Box<dyn std::error::Error>;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Pauses one instance after the other. Returns how long each replacement took.
+/// Pauses one instance after another. Returns the durations of the replacements.
 fn pause_instances(
     host: &Host,
     instances: usize,
@@ -96,14 +96,14 @@
         let after = host.pids();
         let others = changed(&before, &after).filter(|changed| **changed != slot).count();
         if others > 0 {
-            println!("{others} others were replaced as well");
+            println!("{others} other instances were replaced as well");
         }
         before = after;
     }
     Ok(replacements)
 }
 
-/// Pauses the process of an instance, and waits until another one serves.
+/// Pauses the process of an instance, and waits until another process serves. Returns the time that takes.
 fn pause_until_replaced(host: &Host, slot: &str, pid: u32) -> Result<Duration, Error> {
     let instance = || host.instances().into_iter().find(|instance| instance.slot == slot);
     if let Some(address) = instance().and_then(|instance| instance.listen) {
@@ -116,7 +116,7 @@
             return Ok(paused.elapsed());
         }
         if paused.elapsed() > REPLACEMENT_TIMEOUT {
-            return Err(format!("{slot} was never replaced").into());
+            return Err(format!("{slot} was not replaced in time").into());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -128,7 +128,7 @@
     let entries = history.as_array().cloned().unwrap_or_default();
     let killed = entries.iter().filter(|entry| entry.to_string().contains("fell silent")).count();
     println!(
-        "{} stopped, {killed} killed as hung (of the last {} notes)",
+        "{} paused, {killed} killed as hung (among the last {} history entries)",
         replacements.len(),
         entries.len()
     );
@@ -138,11 +138,11 @@
     };
     println!("replaced after: median {:.2} s, longest {:.2} s", quantile(0.5), quantile(1.0));
     let report = host.account().report();
-    println!("asked {}, broken rules {}", report.requested(), report.violations());
+    println!("{} requests, {} violations", report.requested(), report.violations());
     Ok(())
 }
 
-/// The instances that have another process.
+/// Returns the names of the instances that have another process than before.
 fn changed<'a>(
     before: &'a BTreeMap<String, u32>,
     after: &'a BTreeMap<String, u32>,
--- a/crates/local-cluster/examples/hop.rs
+++ b/crates/local-cluster/examples/hop.rs
@@ -1,7 +1,7 @@
-//! Measures what the sidecar costs a request, compared with a bare hyper pass-through in the same run: latency by class
-//! and by gap between requests, requests per second, processor time per request.
+//! Measures the overhead of the sidecar per request, compared with a minimal hyper proxy in the same run: latency by
+//! class and by gap between requests, requests per second, and processor time per request.
 //!
-//! `cargo run --release -p local-cluster --example hop`. Servers answer at once; everything is on loopback.
+//! `cargo run --release -p local-cluster --example hop`. Servers answer at once, and all traffic is on loopback.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,9 +28,10 @@
 use tokio::task::LocalSet;
 
 const CLASSES: [&str; 3] = ["call-lookup", "log-upload", "qsl-order"];
+/// The gaps between two requests of a connection, in milliseconds.
 const GAPS_MS: [u64; 3] = [2, 20, 200];
-/// How long each measurement takes.
-const SPAN: Duration = Duration::from_secs(4);
+/// The duration of each measurement.
+const MEASUREMENT_PERIOD: Duration = Duration::from_secs(4);
 const ECHO_SERVERS: usize = 3;
 const LATENCY_CONNECTIONS: u64 = 4;
 const THROUGHPUT_CONNECTIONS: [u64; 2] = [8, 64];
@@ -44,8 +45,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-            ["echo"] => echo().await,
-            ["pass", upstream] => pass(upstream.parse()?).await,
+            ["echo"] => run_echo_server().await,
+            ["pass", upstream] => run_proxy(upstream.parse()?).await,
             _ => measure().await,
         }
     })
@@ -57,8 +58,8 @@
     Ok(listener)
 }
 
-/// A server that answers at once.
-async fn echo() -> Result<(), Error> {
+/// Runs a server that answers each request at once.
+async fn run_echo_server() -> Result<(), Error> {
     let listener = listen().await?;
     loop {
         let (socket, _) = listener.accept().await?;
@@ -80,8 +81,8 @@
     }
 }
 
-/// Forwards requests, with an upstream connection for each downstream one, and does nothing else.
-async fn pass(upstream: SocketAddr) -> Result<(), Error> {
+/// Runs a proxy that only forwards requests, with one upstream connection per downstream connection.
+async fn run_proxy(upstream: SocketAddr) -> Result<(), Error> {
     let listener = listen().await?;
     loop {
         let (socket, _) = listener.accept().await?;
@@ -89,13 +90,13 @@
         tokio::task::spawn_local(async move {
             let Ok(socket_up) = TcpStream::connect(upstream).await else { return };
             let _ = socket_up.set_nodelay(true);
-            let Ok((sender, load)) =
+            let Ok((sender, connection)) =
                 client::handshake::<_, Full<Bytes>>(TokioIo::new(socket_up)).await
             else {
                 return;
             };
             tokio::task::spawn_local(async move {
-                let _ = load.await;
+                let _ = connection.await;
             });
             let sender = Rc::new(RefCell::new(Some(sender)));
             let serve = service_fn(move |request: Request<Incoming>| {
@@ -118,7 +119,7 @@
     }
 }
 
-/// A process that is killed with its handle.
+/// A child process that is killed when the handle is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -128,8 +129,8 @@
     }
 }
 
-/// Starts a part of this program as a process of its own, and returns its address.
-fn part(arguments: &[&str]) -> Result<(Process, SocketAddr), Error> {
+/// Starts this program as a child process with these arguments, and returns the address that it prints.
+fn start_child(arguments: &[&str]) -> Result<(Process, SocketAddr), Error> {
     let mut command = Command::new(std::env::current_exe()?);
     let mut child = command.args(arguments).stdout(Stdio::piped()).spawn()?;
     let out = child.stdout.take().ok_or("a pipe")?;
@@ -153,11 +154,16 @@
     )
 }
 
-/// The latencies, in microseconds and ascending order, of requests in closed loops on this number of connections, with
-/// a gap between them.
-async fn drive(at: SocketAddr, class: &'static str, connections: u64, gap: Duration) -> Vec<u64> {
+/// Sends requests in a closed loop on each of `connections` connections, with a gap after each response. Returns the
+/// latencies in microseconds, in ascending order.
+async fn send_requests(
+    at: SocketAddr,
+    class: &'static str,
+    connections: u64,
+    gap: Duration,
+) -> Vec<u64> {
     let latencies = Rc::new(RefCell::new(Vec::new()));
-    let end = Instant::now() + SPAN;
+    let end = Instant::now() + MEASUREMENT_PERIOD;
     let loops: Vec<_> = (0..connections)
         .map(|n| {
             let latencies = latencies.clone();
@@ -185,50 +191,50 @@
             })
         })
         .collect();
-    for one in loops {
-        let _ = one.await;
+    for task in loops {
+        let _ = task.await;
     }
     let mut latencies = latencies.take();
     latencies.sort_unstable();
     latencies
 }
 
-/// An id that was not used before.
+/// Returns an unused request id.
 fn next_id() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     u64::from(std::process::id()) << 32 | NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A quantile of latencies in microseconds that are in ascending order, in milliseconds.
+/// Returns a quantile, in milliseconds, of latencies in microseconds in ascending order.
 fn quantile_ms(sorted_us: &[u64], quantile: f64) -> f64 {
     let last = sorted_us.len().saturating_sub(1);
     let index = ((sorted_us.len() as f64 * quantile) as usize).min(last);
     sorted_us.get(index).map_or(f64::NAN, |us| *us as f64 / 1000.0)
 }
 
-/// The sidecar, and the pass-through that it is compared with.
-struct Measured {
+/// The processes and addresses of the sidecar and of the proxy that it is compared with.
+struct Candidates {
     sidecar: (Process, SocketAddr),
-    pass_through: (Process, SocketAddr),
+    proxy: (Process, SocketAddr),
 }
 
 async fn measure() -> Result<(), Error> {
     let mut echoes = Vec::new();
     for _ in 0..ECHO_SERVERS {
-        echoes.push(part(&["echo"])?);
+        echoes.push(start_child(&["echo"])?);
     }
-    let pass_through = part(&["pass", &echoes[0].1.to_string()])?;
+    let proxy = start_child(&["pass", &echoes[0].1.to_string()])?;
     let entries = echoes.iter().map(|(_, address)| Entry::new(*address, "utrecht"));
     let registry = Registry::open(entries.collect()).await?;
     let folder = Folder::new("hop");
     let sidecar = start_sidecar(&registry, &folder).await?;
-    let measured = Measured { sidecar, pass_through };
-    measure_latencies(&measured).await;
-    measure_throughput(&measured).await;
+    let candidates = Candidates { sidecar, proxy };
+    measure_latencies(&candidates).await;
+    measure_throughput(&candidates).await;
     Ok(())
 }
 
-/// Starts the sidecar, and waits until it is ready.
+/// Starts a sidecar, and waits until it is ready.
 async fn start_sidecar(
     registry: &Registry,
     folder: &Folder,
@@ -263,56 +269,57 @@
     reader.next().await.ok()??.status()
 }
 
-async fn measure_latencies(measured: &Measured) {
+async fn measure_latencies(candidates: &Candidates) {
     println!(
-        "| class | gap | sidecar p50 | p99 | pass-through p50 | p99 |\n| --- | --- | --- | --- | --- | --- |"
+        "| class | gap | sidecar p50 | p99 | proxy p50 | p99 |\n| --- | --- | --- | --- | --- | --- |"
     );
     for class in CLASSES {
         for gap in GAPS_MS.map(Duration::from_millis) {
-            let sidecar = drive(measured.sidecar.1, class, LATENCY_CONNECTIONS, gap).await;
-            let bare = drive(measured.pass_through.1, class, LATENCY_CONNECTIONS, gap).await;
+            let sidecar =
+                send_requests(candidates.sidecar.1, class, LATENCY_CONNECTIONS, gap).await;
+            let proxy = send_requests(candidates.proxy.1, class, LATENCY_CONNECTIONS, gap).await;
             println!(
                 "| {class} | {gap:?} | {:.2} ms | {:.2} ms | {:.2} ms | {:.2} ms |",
                 quantile_ms(&sidecar, 0.5),
                 quantile_ms(&sidecar, 0.99),
-                quantile_ms(&bare, 0.5),
-                quantile_ms(&bare, 0.99)
+                quantile_ms(&proxy, 0.5),
+                quantile_ms(&proxy, 0.99)
             );
         }
     }
 }
 
-async fn measure_throughput(measured: &Measured) {
+async fn measure_throughput(candidates: &Candidates) {
     println!(
-        "\n| connections | sidecar | CPU a request | pass-through | CPU a request | CPU ratio |\n| --- | --- | --- | --- | --- | --- |"
+        "\n| connections | sidecar | CPU per request | proxy | CPU per request | CPU ratio |\n| --- | --- | --- | --- | --- | --- |"
     );
     for connections in THROUGHPUT_CONNECTIONS {
-        let sidecar = throughput(&measured.sidecar, connections).await;
-        let bare = throughput(&measured.pass_through, connections).await;
+        let sidecar = throughput(&candidates.sidecar, connections).await;
+        let proxy = throughput(&candidates.proxy, connections).await;
         println!(
             "| {connections} | {:.0}/s | {:.1} µs | {:.0}/s | {:.1} µs | {:.2} |",
             sidecar.requests_per_s,
             sidecar.cpu_us,
-            bare.requests_per_s,
-            bare.cpu_us,
-            sidecar.cpu_us / bare.cpu_us
+            proxy.requests_per_s,
+            proxy.cpu_us,
+            sidecar.cpu_us / proxy.cpu_us
         );
     }
 }
 
 struct Throughput {
     requests_per_s: f64,
-    /// Processor time of a request, in microseconds.
+    /// The processor time per request, in microseconds.
     cpu_us: f64,
 }
 
 async fn throughput((process, address): &(Process, SocketAddr), connections: u64) -> Throughput {
     let cpu_s = || process_usage(process.0.id()).map_or(0.0, |usage| usage.cpu_s);
     let before = cpu_s();
-    let latencies = drive(*address, "call-lookup", connections, Duration::ZERO).await;
+    let latencies = send_requests(*address, "call-lookup", connections, Duration::ZERO).await;
     let requests = latencies.len() as f64;
     Throughput {
-        requests_per_s: requests / SPAN.as_secs_f64(),
+        requests_per_s: requests / MEASUREMENT_PERIOD.as_secs_f64(),
         cpu_us: (cpu_s() - before) / requests * 1e6,
     }
 }
--- a/crates/local-cluster/src/host.rs
+++ b/crates/local-cluster/src/host.rs
@@ -1,4 +1,4 @@
-//! A host with its daemon, its sidecars, and fakes of everything around them.
+//! A host with its daemon and sidecars, and with fake servers, discovery and clients.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -19,30 +19,30 @@
 use crate::plan::Plan;
 use crate::process::signal_process;
 
-/// How long the daemon may take to shut down.
+/// The time after which a daemon that is shutting down is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 /// The time between two checks whether the daemon has exited.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The time between two checks whether everything is settled.
+/// The time between two checks whether the host is settled.
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The most instances that an error names.
+/// The maximum number of instances in an error.
 const MAX_NAMED_INSTANCES: usize = 5;
 
-/// Why something could not be done with a host.
+/// An error of an operation on a host.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// The system refused something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A program of the workspace is missing.
+    /// A program of the workspace is missing or could not be built.
     #[error(transparent)]
     Program(#[from] ProgramError),
-    /// Some instances do not serve.
+    /// Some instances did not serve in time.
     #[error("not settled within {timeout:?}: {unsettled:?}")]
     NotSettled {
-        /// How long it was waited for.
+        /// The time limit.
         timeout: Duration,
-        /// Some of these instances.
+        /// At most [`MAX_NAMED_INSTANCES`] of these instances.
         unsettled: Vec<Instance>,
     },
 }
@@ -50,19 +50,19 @@
 /// An instance as the daemon reports it.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Its name.
+    /// The name of the slot.
     pub slot: String,
-    /// Its state, such as `serving`.
+    /// The state, such as `serving`.
     pub state: String,
-    /// The address that it listens at.
+    /// The address that the instance listens at. `None` if it has none yet.
     pub listen: Option<SocketAddr>,
-    /// The id of its process.
+    /// The process id. `None` if no process runs.
     pub pid: Option<u32>,
-    /// The generation that it runs.
+    /// The generation that the instance runs. `None` if no process runs.
     pub generation: Option<u64>,
-    /// The number of its processes: two while one replaces the other.
+    /// The number of processes: two while one replaces the other.
     pub processes: u64,
-    /// What is wrong with it.
+    /// The reason of a failure. `None` if there is none.
     pub why: Option<String>,
 }
 
@@ -84,10 +84,10 @@
     }
 }
 
-/// A running host. Dropping it ends the daemon, the sidecars and the fakes.
+/// A running host. Dropping it shuts down the daemon, the sidecars and the fakes.
 pub struct Host {
     folder: Folder,
-    /// The log servers, discovery and the account.
+    /// The fake log servers and discovery, and the account of all requests.
     pub world: World,
     plan: Plan,
     daemon: Option<Child>,
@@ -98,11 +98,11 @@
 }
 
 impl Host {
-    /// Builds the programs if needed, and starts everything.
+    /// Builds the programs if needed, and starts the fakes and the daemon.
     ///
     /// # Errors
     ///
-    /// The first thing that could not be done.
+    /// Fails if a program cannot be built or started, or a file or socket cannot be created.
     pub fn start(plan: Plan) -> Result<Host, HostError> {
         let sidecar_program = built("lb-sidecar", plan.progress)?;
         let fleet_program = built("lb-fleet", plan.progress)?;
@@ -125,46 +125,46 @@
         Ok(host)
     }
 
-    /// The path of `fleet.toml`.
+    /// Returns the path of `fleet.toml`.
     pub fn spec_path(&self) -> PathBuf {
         self.folder.path().join("fleet.toml")
     }
 
-    /// The directory of the daemon's state.
+    /// Returns the state directory of the daemon.
     pub fn state_directory(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
-    /// The path of a file in the host's directory.
+    /// Returns the path of a file in the host's directory.
     pub fn file_path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The path of the sidecar's program.
+    /// Returns the path of the sidecar program.
     pub fn sidecar_program(&self) -> &Path {
         &self.sidecar_program
     }
 
-    /// What became of every request.
+    /// Returns the account, which records the outcome of every request.
     pub fn account(&self) -> &Arc<Account> {
         &self.world.account
     }
 
-    /// Changes the settings of all sidecars. They are not in force before a reload.
+    /// Changes the settings of all sidecars. They take effect at the next reload.
     ///
     /// # Errors
     ///
-    /// When they cannot be written.
+    /// Fails if the files cannot be written.
     pub fn change_settings(&self, change: impl FnOnce(&mut Value)) -> Result<(), HostError> {
         change(&mut self.settings.lock().unwrap_or_else(PoisonError::into_inner));
         self.write_spec()
     }
 
-    /// Changes the discovery of all sidecars. It is not in force before a reload.
+    /// Changes the discovery address of all sidecars. It takes effect at the next reload.
     ///
     /// # Errors
     ///
-    /// When it cannot be written.
+    /// Fails if the files cannot be written.
     pub fn set_discovery(&self, discovery: SocketAddr) -> Result<(), HostError> {
         *self.discovery.lock().unwrap_or_else(PoisonError::into_inner) = discovery;
         self.write_spec()
@@ -189,7 +189,7 @@
                  limits = {{ memory_mb = 32, sockets = 256 }}\nsettings = \"settings.json\"\n"
             );
         }
-        // The numbers of all instances are below this one.
+        // An exclusive upper bound of the numbers of all instances.
         let count = self.plan.instances * ZONES.len();
         let settings = settings.to_string().replacen('{', &format!("{{\"instances\":{count},"), 1);
         std::fs::write(self.file_path("settings.json"), settings)?;
@@ -201,13 +201,13 @@
     ///
     /// # Errors
     ///
-    /// When its program cannot be started.
+    /// Fails if the program cannot be started.
     pub fn start_daemon(&mut self) -> Result<(), HostError> {
         self.daemon = Some(self.daemon_command().spawn()?);
         Ok(())
     }
 
-    /// The command that starts the daemon.
+    /// Returns the command that starts the daemon.
     pub fn daemon_command(&self) -> Command {
         let mut command = Command::new(&self.fleet_program);
         command.arg("run").arg("--file").arg(self.spec_path());
@@ -220,12 +220,12 @@
         command
     }
 
-    /// The daemon's process, if it was started.
+    /// Returns the process of the daemon, or `None` if it was not started or was killed.
     pub fn daemon(&mut self) -> Option<&mut Child> {
         self.daemon.as_mut()
     }
 
-    /// Kills the daemon (SIGKILL) and waits for its end.
+    /// Kills the daemon with SIGKILL and waits until it has exited.
     pub fn kill_daemon(&mut self) {
         if let Some(mut daemon) = self.daemon.take() {
             let _ = daemon.kill();
@@ -244,24 +244,25 @@
     ///
     /// # Errors
     ///
-    /// When there is no daemon, or it rejects the request.
+    /// Fails if there is no daemon, or it rejects the request.
     pub fn ask(&self, request: &Request) -> Result<Value, ClientError> {
         ask(&self.state_directory(), request)
     }
 
-    /// The daemon's status; null without a daemon.
+    /// Returns the status of the daemon, or null without a daemon.
     pub fn status(&self) -> Value {
         self.ask(&Request::Status).unwrap_or(Value::Null)
     }
 
-    /// All instances.
+    /// Returns all instances.
     pub fn instances(&self) -> Vec<Instance> {
         let status = self.status();
         let slots = status["slots"].as_array().into_iter().flatten();
         slots.map(Instance::from_status).collect()
     }
 
-    /// Whether all instances serve the target generation with one process each, and no rollout is in progress.
+    /// Returns whether no rollout is in progress, and each instance is drained or serves the target generation with a
+    /// single process.
     pub fn is_settled(&self) -> bool {
         let status = self.status();
         let target = status["target"].as_u64();
@@ -275,11 +276,11 @@
             && status["slots"].as_array().is_some_and(|slots| slots.iter().all(settled))
     }
 
-    /// Waits until everything is settled.
+    /// Waits until the host is settled.
     ///
     /// # Errors
     ///
-    /// When it takes longer than `timeout`, with the instances that do not serve.
+    /// Fails after `timeout`, with some of the instances that do not serve.
     pub fn wait_until_settled(&self, timeout: Duration) -> Result<(), HostError> {
         let deadline = Instant::now() + timeout;
         while !self.is_settled() {
@@ -294,7 +295,7 @@
         Ok(())
     }
 
-    /// Kills the process of an instance (SIGKILL). Its requests may be lost.
+    /// Kills the process of an instance with SIGKILL. Its open requests may be lost, which the account allows for.
     pub fn kill_instance(&self, instance: &Instance) {
         if let (Some(pid), Some(address)) = (instance.pid, instance.listen) {
             self.world.account.expect_kill(address);
@@ -302,7 +303,7 @@
         }
     }
 
-    /// The process ids of all instances, by name.
+    /// Returns the process ids of all instances, by name.
     pub fn pids(&self) -> BTreeMap<String, u32> {
         let instances = self.instances().into_iter();
         instances.filter_map(|instance| Some((instance.slot, instance.pid?))).collect()
@@ -311,7 +312,7 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // The second signal makes the daemon hurry.
+        // The second signal makes the daemon shut down immediately.
         self.signal_daemon(Signal::TERM);
         self.signal_daemon(Signal::TERM);
         if let Some(daemon) = &mut self.daemon {
@@ -321,7 +322,7 @@
             }
         }
         self.kill_daemon();
-        // A daemon that was killed leaves its instances and the holder of its sockets.
+        // A killed daemon leaves its instances and its socket holder running.
         for (_, process) in fleet::process::find_instances(&self.state_directory()) {
             process.signal(Signal::KILL);
         }
--- a/crates/local-cluster/src/lib.rs
+++ b/crates/local-cluster/src/lib.rs
@@ -1,7 +1,7 @@
-//! A whole host on loopback sockets, for tests, the demonstration and measurements.
+//! A host on loopback sockets, for tests, the demonstration and measurements.
 //!
 //! The daemon and its sidecars are the real programs. The log servers of three zones, discovery and the clients are
-//! fakes, and the account tells what became of every request.
+//! fakes. The [account](fakes::account::Account) records the outcome of every request.
 
 mod host;
 mod load;
--- a/crates/local-cluster/src/load.rs
+++ b/crates/local-cluster/src/load.rs
@@ -1,4 +1,4 @@
-//! The load on the instances of a host.
+//! Load on the instances of a host.
 
 use fakes::clients::{Load, drive};
 use tokio::sync::watch;
@@ -6,7 +6,7 @@
 
 use crate::host::Host;
 
-/// Clients that send load. Dropping the handle stops them, without waiting for their open requests.
+/// A handle of running clients. Dropping it stops them without waiting for their open requests.
 pub struct RunningLoad {
     stop: watch::Sender<bool>,
     clients: Vec<JoinHandle<()>>,
@@ -25,7 +25,7 @@
 }
 
 impl Host {
-    /// Starts load on every instance that listens now.
+    /// Starts clients that send load to every instance that listens now.
     pub fn start_load(&self, load: &Load) -> RunningLoad {
         let (stop, stopped) = watch::channel(false);
         let mut clients = Vec::new();
@@ -38,11 +38,11 @@
         RunningLoad { stop, clients }
     }
 
-    /// Waits until more than `count` further requests are served.
+    /// Waits until more than `count` further requests have been served.
     ///
     /// # Panics
     ///
-    /// When that takes longer than [`fakes::PATIENCE`].
+    /// Panics if that takes longer than [`fakes::PATIENCE`].
     pub fn wait_until_served(&self, count: u64) {
         let before = self.account().report().served();
         fakes::until("requests are served", || self.account().report().served() > before + count);
--- a/crates/local-cluster/src/plan.rs
+++ b/crates/local-cluster/src/plan.rs
@@ -1,12 +1,12 @@
-//! What a host consists of.
+//! The configuration of a host.
 
 use std::path::PathBuf;
 
 use fakes::account::Class;
 
-/// What a host consists of.
+/// The configuration of a host.
 pub struct Plan {
-    /// The number of instances. They are spread over the zones.
+    /// The number of instances, which are distributed over the zones.
     pub instances: usize,
     /// The number of log servers in each zone.
     pub servers: usize,
@@ -16,11 +16,11 @@
     pub rollout: String,
     /// The lines of `fleet.toml` under `[restarts]`.
     pub restarts: String,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The file of the programs' logs; none: the standard error of this process.
+    /// The log file of the programs. `None` means the standard error of this process.
     pub log: Option<PathBuf>,
-    /// Whether the build of the programs shows its progress.
+    /// Whether to show the progress of the build of the programs.
     pub progress: bool,
 }
 
--- a/crates/local-cluster/tests/hard_cases/main.rs
+++ b/crates/local-cluster/tests/hard_cases/main.rs
@@ -1,4 +1,4 @@
-//! Faults and changes of a small fleet, one in each test.
+//! Tests of faults and changes in a small fleet, one per test.
 
 mod daemon;
 mod instances;
--- a/crates/local-cluster/tests/hard_cases/support.rs
+++ b/crates/local-cluster/tests/hard_cases/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers of the tests.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use fleet::control::Request;
 use local_cluster::{Host, Plan, RunningLoad};
 
-/// How long anything may take.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of each condition that a test waits for.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A small fleet with quick rollouts, and deadlines that no machine exceeds by chance.
+/// Returns the plan of a small fleet with quick rollouts. Deadlines are long, so that no request times out on a slow
+/// machine.
 pub fn plan(instances: usize) -> Plan {
     Plan {
         instances,
@@ -22,18 +23,18 @@
 }
 
 /// Starts a host, and waits until it is settled.
-pub fn started(plan: Plan) -> Host {
-    let host = Host::start(plan).expect("it starts");
-    host.wait_until_settled(PATIENCE).expect("all serve");
+pub fn start_host_with(plan: Plan) -> Host {
+    let host = Host::start(plan).expect("the host starts");
+    host.wait_until_settled(TIMEOUT).expect("all instances serve");
     host
 }
 
-/// A settled host with the usual plan.
-pub fn host(instances: usize) -> Host {
-    started(plan(instances))
+/// Starts a host with the default [`plan`], and waits until it is settled.
+pub fn start_host(instances: usize) -> Host {
+    start_host_with(plan(instances))
 }
 
-/// Starts the usual load.
+/// Starts load on all instances, 10 requests per second each.
 pub fn start_load(host: &Host) -> RunningLoad {
     host.start_load(&Load {
         rate: 10.0,
@@ -43,8 +44,8 @@
     })
 }
 
-/// No rule was broken, and no connection refused.
-pub fn assert_sound(host: &Host) {
+/// Asserts that requests were served, no rule was violated, and no connection was refused or left unread.
+pub fn assert_no_violations(host: &Host) {
     let report = host.account().report();
     let text = format!("{:?}", report.examples);
     assert_eq!(
@@ -55,12 +56,12 @@
     assert!(report.served() > 0);
 }
 
-/// Whether an entry of the daemon's history has this text.
-pub fn history_contains(host: &Host, what: &str) -> bool {
-    host.ask(&Request::History).is_ok_and(|h| h.to_string().contains(what))
+/// Returns whether the history of the daemon contains this text.
+pub fn history_contains(host: &Host, text: &str) -> bool {
+    host.ask(&Request::History).is_ok_and(|h| h.to_string().contains(text))
 }
 
 /// Changes a setting that only new processes can apply.
-pub fn change_objective(host: &Host, whole: f64) {
+pub fn change_goal(host: &Host, whole: f64) {
     host.change_settings(|s| s["goal"]["whole"] = whole.into()).expect("written");
 }
--- a/crates/local-cluster/tests/sample.rs
+++ b/crates/local-cluster/tests/sample.rs
@@ -1,4 +1,4 @@
-//! The sample under `deploy/` is valid for the programs.
+//! Checks that the sample fleet under `deploy/` is valid for the daemon and the sidecar.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,13 +10,13 @@
 fn sample_fleet_is_valid_for_the_daemon_and_the_sidecar() {
     let sidecar = built("lb-sidecar", false).expect("built");
     let sample = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet/fleet.toml");
-    let text = std::fs::read_to_string(sample).expect("it is there");
+    let text = std::fs::read_to_string(sample).expect("the sample exists");
     let folder = Folder::new("sample");
     let file = folder.path().join("fleet.toml");
     let program = sidecar.display().to_string();
     let text = text.replace("../../target/release/lb-sidecar", &program);
     std::fs::write(&file, text).expect("written");
-    let spec = Spec::read(&file).expect("sound");
+    let spec = Spec::read(&file).expect("a valid specification");
     let slots = spec.slots(&std::collections::BTreeMap::new());
     assert_eq!(slots.len(), 8);
     for slot in slots {
