--- a/crates/local-cluster/src/host.rs
+++ b/crates/local-cluster/src/host.rs
@@ -42,7 +42,7 @@
     NotSettled {
         /// The time limit.
         timeout: Duration,
-        /// At most [`MAX_NAMED_INSTANCES`] of these instances.
+        /// Some of the instances that did not serve.
         unsettled: Vec<Instance>,
     },
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,8 +1,8 @@
 //! Receives signals of the process.
 //!
 //! The signal handler sets a flag and wakes the event loop through a pipe. If its write to the pipe fails (it may be
-//! interrupted, for example), the wake-up is lost but the flag stays set, so the flags are also polled at
-//! [`FLAG_POLL_INTERVAL`].
+//! interrupted, for example), the wake-up is lost but the flag stays set, so the flags are also
+//! polled at regular intervals.
 
 use std::fmt;
 use std::io;
--- a/crates/scale-test/src/cluster.rs
+++ b/crates/scale-test/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: origins, control servers, hollow and real sidecars.
+//! The processes of a scale test: origins, control servers, hollow and real sidecars.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -25,17 +25,18 @@
 mod origin;
 mod sidecars;
 
-/// The pause between two looks at the state of the run.
+/// The time between two checks of the state of the run.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The origins of a run: the first one, and the one that replaces it.
+/// The number of origins of a run: the first one and its replacement.
 const ORIGIN_COUNT: usize = 2;
 
-/// What all processes have used so far, by role. An entry of a hollow sidecar is its part of its process.
+/// The resource usage of all processes so far, by role. An entry of role `hollow` is the mean usage per sidecar of one
+/// process.
 pub(crate) type UsageByRole = BTreeMap<String, Vec<Usage>>;
 
-/// The running processes of a run. Dropping it ends them.
+/// The running processes of a scale test, which end when it is dropped.
 pub(crate) struct Cluster<'a> {
-    /// The plan.
+    /// The plan of the run.
     pub plan: &'a Plan,
     folder: Folder,
     config_program: PathBuf,
@@ -43,7 +44,7 @@
     network: Network,
     _relays: Vec<Relay>,
     origin_addresses: Vec<SocketAddr>,
-    /// The addresses at which each control server reaches the origins.
+    /// For each control server, the addresses of its relays to the origins.
     relay_addresses: Vec<Vec<SocketAddr>>,
     control_addresses: Vec<SocketAddr>,
     origins: Vec<Option<Process>>,
@@ -53,18 +54,18 @@
     /// The discovery of the real sidecars.
     registry: Registry,
     _server: Server,
-    /// How many changes were published.
+    /// The number of changes that were published, including attempts that failed.
     published: u64,
 }
 
-/// The hollow sidecars of a zone, and their process.
+/// The hollow sidecars of a zone, with their process.
 struct Zone {
     group: Group,
     process: Option<Process>,
     status: SharedStatus,
 }
 
-/// The last status that a process of hollow sidecars has reported.
+/// The last status reported by a process of hollow sidecars.
 #[derive(Clone, Default)]
 struct SharedStatus(Arc<Mutex<GroupStatus>>);
 
@@ -80,12 +81,12 @@
     host: Process,
 }
 
-/// How far a change has got.
+/// The propagation of a change.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Propagation {
-    /// The hollow sidecars where it is in force.
+    /// The number of hollow sidecars where the change is in force.
     pub sidecar_count: usize,
-    /// When the last of them applied it, in microseconds of Unix time.
+    /// The time at which the last of them applied the change, in microseconds of Unix time.
     pub last_us: u64,
 }
 
@@ -128,12 +129,12 @@
         Ok(cluster)
     }
 
-    /// The directory of the processes' logs.
+    /// Returns the directory of the logs of all processes.
     pub fn log_directory(&self) -> &Path {
         self.folder.path()
     }
 
-    /// How far a change has got.
+    /// Returns the propagation of a change.
     pub fn propagation(&self, generation: u64) -> Propagation {
         let mut sum = Propagation::default();
         for zone in &self.zones {
@@ -145,7 +146,7 @@
         sum
     }
 
-    /// The counts of all hollow sidecars together, without generations.
+    /// Returns the sums of the counts of all hollow sidecars, without `in_force`.
     pub fn hollow_counts(&self) -> GroupStatus {
         let mut sum = GroupStatus::default();
         for zone in &self.zones {
@@ -158,7 +159,7 @@
         sum
     }
 
-    /// What all processes have used so far.
+    /// Returns the resource usage of all processes so far.
     pub fn usage(&self) -> UsageByRole {
         let each = |processes: &[Option<Process>]| -> Vec<Usage> {
             processes.iter().flatten().map(Process::usage).collect()
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    /// Starts a process of the configuration program, and waits until it tells its address.
+    /// Starts a process of `lb-config`, and waits until it prints its address.
     fn start_server(&self, arguments: &[String], log: &str) -> Result<Process, RunError> {
         let mut command = guarded(&self.config_program)?;
         command.args(arguments);
@@ -212,14 +213,14 @@
         }
     }
 
-    /// The control servers but one, as arguments have them.
+    /// Returns the control servers except one, in the form `NAME=ADDRESS` of command line arguments.
     fn members(&self, except: Option<usize>) -> impl Iterator<Item = String> {
         let all = self.control_addresses.iter().enumerate();
         let others = all.filter(move |(n, _)| Some(*n) != except);
         others.map(|(n, address)| format!("c{n}={address}"))
     }
 
-    /// The control servers of a zone's region, which are those that its hosts use.
+    /// Returns the control servers in the region of a zone, which are those that the hosts of the zone use.
     fn control_servers_of(&self, zone: usize) -> Vec<(String, SocketAddr)> {
         let region = self.plan.region_of(zone);
         let all = self.control_addresses.iter().enumerate();
@@ -228,10 +229,12 @@
     }
 }
 
-/// Whether a control server has stored state.
+/// The state with which a control server starts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ControlState {
+    /// No state.
     New,
+    /// The state that an earlier process has stored.
     Stored,
 }
 
@@ -259,7 +262,7 @@
     Ok(reserved.iter().map(|port| port.address).collect())
 }
 
-/// Starts the relays of a control server to the origins.
+/// Starts a relay from a control server to each origin.
 fn start_relays(
     network: &Network,
     control_server: usize,
--- a/crates/scale-test/src/cluster/faults.rs
+++ b/crates/scale-test/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a plan.
+//! Injects and ends the faults of a plan.
 
 use fault_injection::links::{ActiveFault, Impairment, Node};
 
@@ -7,7 +7,7 @@
 use crate::plan::{Fault, FaultKind};
 
 impl Cluster<'_> {
-    /// Lets a fault begin.
+    /// Injects a fault.
     pub fn begin(&mut self, fault: &Fault) -> Result<(), RunError> {
         let target = fault.target;
         match fault.kind {
@@ -16,10 +16,10 @@
                 self.control_servers[target].iter().for_each(|server| server.pause());
             }
             FaultKind::CutRegion => {
-                let cut = self.cut_of_region(target);
+                let partition = self.region_partition(target);
                 self.network.update(|links| {
                     links.clear(target);
-                    links.inject(cut);
+                    links.inject(partition);
                 });
             }
             FaultKind::KillZone => {
@@ -49,8 +49,8 @@
         Ok(())
     }
 
-    /// Cuts the control servers of a region off from the origins.
-    fn cut_of_region(&self, region: usize) -> ActiveFault {
+    /// Returns a fault that partitions the control servers of a region from the origins.
+    fn region_partition(&self, region: usize) -> ActiveFault {
         let servers = 0..self.control_addresses.len();
         let own = servers.filter(|n| self.plan.region_of(*n) == region);
         ActiveFault {
--- a/crates/scale-test/src/cluster/origin.rs
+++ b/crates/scale-test/src/cluster/origin.rs
@@ -10,18 +10,20 @@
 use super::{Cluster, POLL_INTERVAL};
 use crate::error::RunError;
 
-/// How long an origin may take to answer.
+/// The time within which an origin must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// What a document takes in bytes beyond its `limits`.
+/// The number of bytes of a document apart from its `limits` object.
 const DOCUMENT_OVERHEAD_BYTES: usize = 24;
-/// A setting that sidecars apply without a restart; every change sets it to a value of its own.
-const FIRST_VALUE: u64 = 1_000_000;
+/// The base value of `maxRetryAfter`, a setting that sidecars apply without a restart. Every change sets a different
+/// value.
+const BASE_VALUE: u64 = 1_000_000;
 
 impl Cluster<'_> {
-    /// Publishes the next document, which concerns all services. Returns its generation.
+    /// Publishes the next document, which applies to all services. Tries the origins until one accepts it or `timeout`
+    /// has passed. Returns the generation.
     pub fn publish(&mut self, timeout: Duration) -> Result<u64, RunError> {
         self.published += 1;
-        let mut limits = json!({"maxRetryAfter": FIRST_VALUE + self.published, "notes": ""});
+        let mut limits = json!({"maxRetryAfter": BASE_VALUE + self.published, "notes": ""});
         let overhead = limits.to_string().len() + DOCUMENT_OVERHEAD_BYTES;
         let padding = self.plan.document_bytes().saturating_sub(overhead);
         limits["notes"] = "x".repeat(padding).into();
@@ -42,7 +44,7 @@
         }
     }
 
-    /// The status of the leading origin; null without one.
+    /// Returns the status of the leading origin, or null if none leads.
     pub fn origin_status(&self) -> Result<Value, RunError> {
         for origin in &self.origin_addresses {
             match request(*origin, "/config/status", None)? {
@@ -54,7 +56,7 @@
     }
 }
 
-/// Sends a request to an origin. There is no answer if the origin does not answer or rejects it.
+/// Sends a request to an origin. Returns `None` if the origin does not answer or rejects the request.
 fn request(
     origin: SocketAddr,
     path: &str,
--- a/crates/scale-test/src/cluster/sidecars.rs
+++ b/crates/scale-test/src/cluster/sidecars.rs
@@ -1,4 +1,4 @@
-//! Starts the sidecars.
+//! Starts the hollow and real sidecars.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -19,14 +19,15 @@
 const GOSSIP_INTERVAL_MS: u64 = 1000;
 /// The factor on the latency objectives and deadlines of the sidecars' settings.
 const TIME_SCALE: f64 = 8.0;
-/// The first port, and the number of ports, of which one is this process's for its hollow sidecars.
+/// The start of the range of ports from which this process uses one for all its hollow sidecars.
 const FIRST_PORT: u16 = 20_000;
+/// The number of ports in that range.
 const PORT_COUNT: u32 = 20_000;
-/// The first number of a hollow sidecar's address within 127.200.0.0/16.
+/// The offset of the first hollow sidecar's address in 127.200.0.0/16.
 const FIRST_ADDRESS: u32 = 257;
 
 impl Cluster<'_> {
-    /// Starts all sidecars, hollow ones and real ones.
+    /// Starts all hollow and real sidecars.
     pub fn start_sidecars(&mut self) -> Result<(), RunError> {
         for (zone, sidecars) in self.hollow_sidecars().into_iter().enumerate() {
             let group = Group {
@@ -45,7 +46,7 @@
         (self.plan.sidecar_count() / self.plan.service_count()).max(1)
     }
 
-    /// The hollow sidecars by zone. Those of a service gossip with each other.
+    /// Returns the hollow sidecars by zone. Sidecars of the same service gossip with each other.
     fn hollow_sidecars(&self) -> Vec<Vec<HollowSidecar>> {
         let (zone_count, service_count) = (self.plan.zone_count(), self.plan.service_count());
         let mut zones: Vec<Vec<HollowSidecar>> = vec![Vec::new(); zone_count];
@@ -64,7 +65,7 @@
         zones
     }
 
-    /// The configuration of the member of this number among its peers.
+    /// Returns the configuration of the hollow sidecar with index `number` in `peers`.
     fn hollow_configuration(
         &self,
         name: &str,
@@ -83,7 +84,7 @@
         config
     }
 
-    /// A sidecar's configuration without what is distributed.
+    /// Returns the configuration of a sidecar without the distributed documents.
     fn base_configuration(&self, name: &str, listen: SocketAddr) -> Value {
         let mut settings = settings(&classes(TIME_SCALE));
         settings["zones"] = (0..self.plan.zone_count()).map(|zone| format!("z{zone}")).collect();
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// The arguments of the host agent of a real sidecar.
+    /// Returns the arguments of the host agent of a real sidecar.
     fn host_arguments(&self, n: usize, name: &str, base: &Path, config: &Path) -> Vec<String> {
         let zone = n % self.plan.zone_count();
         let mut arguments = vec![
@@ -152,14 +153,15 @@
     }
 }
 
-/// Each hollow sidecar has an address of its own, by which its peers know it. The port is this process's.
+/// Returns the address of a hollow sidecar. Each one has its own IP address, by which its peers identify it, and all
+/// share a port that depends on the id of this process.
 fn hollow_address(n: usize) -> SocketAddr {
     let port = FIRST_PORT + (std::process::id() % PORT_COUNT) as u16;
     let n = n as u32 + FIRST_ADDRESS;
     SocketAddr::from(([127, 200, (n >> 8) as u8, (n & 255) as u8], port))
 }
 
-/// Keeps the last status that a process of hollow sidecars reports, until its output ends.
+/// Reads the status lines of a process of hollow sidecars until its output ends, and stores the last one in `status`.
 fn follow_status(output: ChildStdout, status: SharedStatus) {
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
--- a/crates/scale-test/src/hollow.rs
+++ b/crates/scale-test/src/hollow.rs
@@ -1,7 +1,8 @@
 //! A process of hollow sidecars.
 //!
-//! It reads its [`Group`] from standard input, and writes its [`GroupStatus`] to standard output at regular times. It
-//! ends with its standard input. Both ends are always of the same version: a run starts its own executable.
+//! The process reads its [`Group`] from standard input, writes its [`GroupStatus`] to standard output every
+//! 100 ms, and exits when standard input ends. The messages need not be compatible with other versions,
+//! because a run starts its own executable.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,13 +27,13 @@
 /// A hollow sidecar.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HollowSidecar {
-    /// Its name, and that of its host.
+    /// The name of the sidecar and of its host.
     pub name: String,
-    /// Its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// The number of the service that it is a client of.
+    /// The number of the service that the sidecar sends requests to.
     pub service: usize,
-    /// Its configuration without what is distributed. Its discovery is replaced by one of this process.
+    /// The configuration without the distributed documents. Its discovery is replaced by one in this process.
     pub config: Value,
 }
 
@@ -43,42 +44,42 @@
     pub sidecars: Vec<HollowSidecar>,
     /// The names and addresses of the control servers of their region.
     pub control_servers: Vec<(String, SocketAddr)>,
-    /// The number of servers of each service, which is the length of its endpoint list.
+    /// The length of the endpoint list of each service.
     pub servers_per_service: usize,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
 /// The state of all hollow sidecars of a process.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct GroupStatus {
-    /// By generation: in how many sidecars it, or a later one, is in force, and when the last of them applied it, in
-    /// microseconds of Unix time.
+    /// By generation: the number of sidecars in which it or a later one is in force, and the time at which the last of
+    /// them applied it, in microseconds of Unix time.
     pub in_force: BTreeMap<Generation, (usize, u64)>,
-    /// Configurations that were rejected.
+    /// The number of rejected configurations.
     pub rejected: u64,
-    /// Endpoint lists that were received.
+    /// The number of received endpoint lists.
     pub endpoint_lists: u64,
-    /// Sidecars that know all of their gossip peers.
+    /// The number of sidecars that know all of their gossip peers.
     pub complete_memberships: usize,
-    /// How often an older generation replaced a newer one.
+    /// The number of times that an older generation replaced a newer one.
     pub regressions: u64,
 }
 
-/// Why a process of hollow sidecars could not run.
+/// An error of a process of hollow sidecars.
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
-    /// The system refused something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Standard input is no group.
-    #[error("a crowd expected: {0}")]
+    /// Standard input does not contain a valid group.
+    #[error("invalid group on standard input: {0}")]
     Group(serde_json::Error),
     /// The discovery of a service could not be started.
-    #[error("an agent: {0}")]
+    #[error("failed to start discovery: {0}")]
     Discovery(io::Error),
     /// A gossip address could not be bound.
-    #[error("{address}: {source}")]
+    #[error("failed to bind gossip address {address}: {source}")]
     GossipSocket {
         /// The address.
         address: SocketAddr,
@@ -88,21 +89,21 @@
     /// A sidecar's configuration is invalid.
     #[error("{sidecar}: {reason}")]
     Configuration {
-        /// The sidecar's name.
+        /// The name of the sidecar.
         sidecar: String,
-        /// What is wrong.
+        /// The description of the problem.
         reason: String,
     },
-    /// A sidecar cannot gossip.
+    /// The gossip settings of a sidecar are invalid.
     #[error("{0}")]
     Gossip(String),
 }
 
-/// The counts that all sidecars of the process share.
+/// Counters shared by all sidecars of the process.
 #[derive(Default)]
 struct Counters {
     status: RefCell<GroupStatus>,
-    /// Apart from the status, which may be borrowed when a list is received.
+    /// The number of received endpoint lists. Kept outside of `status`, which may be borrowed when a list is received.
     endpoint_lists: Cell<u64>,
 }
 
@@ -119,7 +120,7 @@
 ///
 /// # Errors
 ///
-/// When the group cannot be read, or a sidecar not started.
+/// Fails if the group cannot be read or a sidecar cannot be started.
 pub fn run() -> Result<(), HollowError> {
     let mut line = String::new();
     io::stdin().lock().read_line(&mut line)?;
@@ -134,7 +135,7 @@
     })
 }
 
-/// A receiver that becomes true when standard input ends.
+/// Returns a receiver whose value becomes true when standard input ends.
 fn watch_input_end() -> watch::Receiver<bool> {
     let (ended, receiver) = watch::channel(false);
     std::thread::spawn(move || {
@@ -144,7 +145,7 @@
     receiver
 }
 
-/// Writes lines of status until standard input ends, or nobody reads them any more.
+/// Writes status lines until standard input ends or a write to standard output fails.
 async fn report_status(
     counters: &Counters,
     memberships: &[Membership],
--- a/crates/scale-test/src/hollow/sidecar.rs
+++ b/crates/scale-test/src/hollow/sidecar.rs
@@ -1,4 +1,4 @@
-//! Starts hollow sidecars from the parts of real ones.
+//! Starts hollow sidecars, which consist of modules of the real sidecar.
 
 use std::collections::{BTreeMap, btree_map};
 use std::net::SocketAddr;
@@ -27,33 +27,33 @@
 
 use super::{Counters, Group, HollowError, HollowSidecar};
 
-/// The longest time between two status datagrams of a sidecar, as of a real one.
+/// The maximum time between two status datagrams of a sidecar, as in the real sidecar.
 const DATAGRAM_INTERVAL: Duration = Duration::from_millis(500);
-/// The most generations whose propagation is kept.
+/// The maximum number of generations whose propagation is kept.
 const MAX_GENERATIONS: usize = 512;
-/// The longest endpoint list.
+/// The maximum length of an endpoint list.
 const MAX_SERVERS: usize = 8192;
-/// The port of the first server in an endpoint list. Nobody listens there.
+/// The port of the first server in an endpoint list. No process listens on these ports, because no requests are sent.
 const FIRST_SERVER_PORT: u16 = 10_000;
-/// The fewest members that make a complete membership.
+/// The minimum number of members in a complete membership.
 const MIN_MEMBERS: f64 = 2.0;
 
 /// A sidecar's membership in its gossip group.
 pub(super) struct Membership(Rc<GossipMembership<TokioRuntime>>);
 
 impl Membership {
-    /// Whether the sidecar knows all of its peers.
+    /// Returns whether the sidecar knows all of its peers.
     pub fn is_complete(&self) -> bool {
         let snapshot = self.0.snapshot();
         snapshot.members.alive as f64 >= snapshot.reachable_members.round().max(MIN_MEMBERS)
     }
 }
 
-/// Where a hollow sidecar's configuration is applied: it is checked and counted.
+/// The configuration target of a hollow sidecar, which only checks and counts configurations.
 struct HollowTarget {
     base: Value,
     counters: Rc<Counters>,
-    /// The newest generation that was ever in force.
+    /// The newest generation that has been in force.
     newest: Generation,
     applied: Rc<Notify>,
 }
@@ -67,14 +67,14 @@
         let ConfigSnapshot { generation, documents } = config;
         let text = merge_documents(&self.base, documents.iter()).to_string();
         let mut status = self.counters.status.borrow_mut();
-        // The check that a real sidecar makes when it reloads its configuration.
+        // The same check as in a real sidecar that reloads its configuration.
         if let Err(error) = Config::parse(text.as_bytes()) {
             status.rejected += 1;
             return ApplyOutcome::Rejected(error.to_string());
         }
         status.regressions += u64::from(*generation < self.newest);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // A document replaces all earlier ones of its key, so that their generations are in force with it.
+        // A document replaces all earlier ones with its key, so the skipped generations are in force, too.
         let newest = documents.iter().map(|document| document.generation).max().unwrap_or(0);
         for generation in self.newest + 1..=newest {
             let entry = status.in_force.entry(generation).or_default();
@@ -89,7 +89,7 @@
     }
 }
 
-/// Counts endpoint lists.
+/// Counts received endpoint lists.
 struct ListCounter(Rc<Counters>);
 
 impl EndpointListener for ListCounter {
@@ -106,9 +106,10 @@
     fn on_failure(&self) {}
 }
 
-struct GossipInbox(Rc<GossipMembership<TokioRuntime>>);
+/// Passes gossip datagrams to the membership.
+struct GossipHandler(Rc<GossipMembership<TokioRuntime>>);
 
-impl DatagramHandler for GossipInbox {
+impl DatagramHandler for GossipHandler {
     fn handle(&self, from: u32, data: &[u8]) {
         self.0.receive(from, data);
     }
@@ -139,7 +140,7 @@
         hosts.start(n, sidecar, base, counters, &status_socket);
     }
     tokio::task::spawn_local(async move {
-        // They end with the process.
+        // The discoveries run until the process exits.
         let _discoveries = discoveries;
         std::future::pending::<()>().await;
     });
@@ -163,7 +164,7 @@
     Registry::open(entries).await.map_err(HollowError::Discovery)
 }
 
-/// Watches discovery as a real sidecar does.
+/// Watches discovery in the same way as a real sidecar.
 fn watch_discovery(address: SocketAddr, config: &Config, counters: &Rc<Counters>) {
     let (address_sender, address) = watch::channel(address);
     let (call_sender, calls) = mpsc::unbounded_channel::<DiscoveryRequest>();
@@ -172,13 +173,13 @@
     let discovery = Discovery::<TokioRuntime>::new(address, How::Push, grace, 0, attempted, status);
     let lists = ListCounter(counters.clone());
     tokio::task::spawn_local(async move {
-        // The channels stay open until the process ends.
+        // Keeps the channels open until the process exits.
         let _senders = (address_sender, call_sender);
         discovery.run(lists, calls).await;
     });
 }
 
-/// Joins the gossip group, if the configuration has one.
+/// Joins the gossip group. Returns `None` if the configuration has no gossip address.
 async fn join_gossip(config: &Config) -> Result<Option<Membership>, HollowError> {
     let Some(address) = config.peer_listen else { return Ok(None) };
     let socket = UdpSocket::bind(address).await;
@@ -187,7 +188,7 @@
     let group = GossipMembership::<TokioRuntime>::new(config, Some(&peers));
     let group = group.map_err(|error| HollowError::Gossip(error.to_string()))?;
     Ok(group.map(|group| {
-        tokio::task::spawn_local(peers.listen(GossipInbox(group.clone())));
+        tokio::task::spawn_local(peers.listen(GossipHandler(group.clone())));
         tokio::task::spawn_local(group.clone().run());
         Membership(group)
     }))
@@ -200,7 +201,7 @@
 }
 
 impl Hosts {
-    /// Starts the host agent of the sidecar of this number, and its status datagrams.
+    /// Starts the host agent of the `n`th sidecar, and the task that sends its status datagrams.
     fn start(
         &self,
         n: usize,
@@ -224,7 +225,7 @@
     }
 }
 
-/// A socket that status datagrams are sent to. They are read at once and discarded.
+/// A socket pair for status datagrams, which are read at once and discarded.
 struct StatusSocket {
     sender: UnixDatagram,
     receiver: UnixDatagram,
@@ -239,7 +240,7 @@
     }
 }
 
-/// Sends status datagrams as a real sidecar does: at regular times, and when something has changed.
+/// Sends status datagrams like a real sidecar: every [`DATAGRAM_INTERVAL`], and after each change.
 async fn send_status(name: String, socket: Rc<StatusSocket>, changed: Rc<Notify>) {
     let mut status = InstanceStatus {
         name,
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,12 +1,12 @@
 //! Scale tests: thousands of sidecars and their control plane on one machine.
 //!
-//! A *hollow* sidecar does everything that concerns the control plane, with the project's own code over real loopback
-//! sockets: it watches discovery, applies configurations, gossips with its peers and reports its status. It serves no
-//! requests. Hundreds of them share a process. Real sidecars run among them.
+//! A *hollow* sidecar runs the control plane part of the real sidecar over real loopback sockets: it watches discovery,
+//! applies configurations, gossips with its peers and reports its status. It serves no requests. Hundreds of hollow
+//! sidecars share a process. Some real sidecars run beside them.
 //!
-//! - [`plan`] is the file of a run, checked, and [`regression`] fits lines; neither does I/O.
-//! - [`hollow`] is a process of hollow sidecars.
-//! - [`runner`] plays a plan, and [`report`] is what it measures.
+//! - [`plan`] parses and checks plan files, and [`regression`] fits lines; neither does I/O.
+//! - [`hollow`] runs a process of hollow sidecars.
+//! - [`runner`] runs a plan, and [`report`] has the results.
 
 pub mod hollow;
 pub mod plan;
--- a/crates/scale-test/src/measurement.rs
+++ b/crates/scale-test/src/measurement.rs
@@ -1,4 +1,4 @@
-//! Publishes changes, applies faults, and measures what they cost.
+//! Publishes changes, injects faults, and measures propagation times and costs.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,19 +11,19 @@
 use crate::plan::{Fault, FaultKind};
 use crate::report::{Change, Cost, Report, failures};
 
-/// How long costs are measured before anything is changed.
+/// The time over which costs without changes or faults are measured, before the first change.
 const QUIET_PERIOD: Duration = Duration::from_secs(5);
-/// How long after the run's end changes may still get everywhere.
+/// The time after the end of the run within which open changes may still propagate.
 const PROPAGATION_GRACE: Duration = Duration::from_secs(20);
-/// How long the publication of a change may take.
+/// The time within which an origin must accept a change.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(30);
 const MICROS_PER_S: f64 = 1e6;
 
-/// What everything has used by some time.
+/// The resource usage of all processes at some time.
 struct Reading {
     at: Instant,
     usage: UsageByRole,
-    /// Bytes that have passed over loopback.
+    /// The bytes received on the loopback interface so far.
     loopback_bytes: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The time between two readings.
+/// The interval between two readings.
 struct Span<'a> {
     from: &'a Reading,
     to: &'a Reading,
@@ -48,11 +48,11 @@
         (self.to.loopback_bytes - self.from.loopback_bytes) as f64 / self.seconds()
     }
 
-    /// The mean and the greatest share of a core of the processes of a role, of those that ran all the time.
+    /// Returns the mean and the maximum share of a core of the processes of a role. Restarted processes are left out.
     fn cpu_shares(&self, role: &str) -> (f64, f64) {
         let pairs = self.from.usage[role].iter().zip(&self.to.usage[role]);
         let shares = pairs.map(|(from, to)| (to.cpu_s - from.cpu_s) / self.seconds());
-        // A process that was restarted has used less than before.
+        // A process that was restarted has a smaller processor time than before.
         let shares: Vec<f64> = shares.filter(|share| *share >= 0.0).collect();
         let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
         (mean, shares.into_iter().fold(0.0, f64::max))
@@ -66,10 +66,11 @@
     begins: bool,
 }
 
-/// A change that was published.
+/// A published change.
 struct PublishedChange {
     change: Change,
-    /// From when on its propagation counts, in microseconds of Unix time.
+    /// The start of its propagation time, in microseconds of Unix time: its publication, or the end of the last
+    /// partition.
     since_us: u64,
 }
 
@@ -77,22 +78,23 @@
 struct Measurement<'c, 'p> {
     cluster: &'c mut Cluster<'p>,
     started: Instant,
-    /// The events to come, in the order of time.
+    /// The remaining events, ordered by time.
     events: VecDeque<FaultEvent>,
     active_faults: Vec<Fault>,
     changes: Vec<PublishedChange>,
     next_change: Duration,
 }
 
-/// Plays the changes and faults of the plan, and reports on them. `tell` is called with lines about the progress.
+/// Publishes the changes and injects the faults of the plan, and measures them. `on_progress` is called with lines that
+/// describe the progress.
 pub(crate) fn measure(
     cluster: &mut Cluster<'_>,
-    tell: &mut impl FnMut(&str),
+    on_progress: &mut impl FnMut(&str),
 ) -> Result<Report, RunError> {
     let before = Reading::take(cluster);
     std::thread::sleep(QUIET_PERIOD);
     let quiet = Reading::take(cluster);
-    let changes = Measurement::new(cluster).play(tell)?;
+    let changes = Measurement::new(cluster).run(on_progress)?;
     let after = Reading::take(cluster);
     let quiet_span = Span { from: &before, to: &quiet };
     let changing_span = Span { from: &quiet, to: &after };
@@ -112,14 +114,14 @@
         }
     }
 
-    fn play(mut self, tell: &mut impl FnMut(&str)) -> Result<Vec<Change>, RunError> {
+    fn run(mut self, on_progress: &mut impl FnMut(&str)) -> Result<Vec<Change>, RunError> {
         let duration = self.cluster.plan.duration();
         let deadline = duration + PROPAGATION_GRACE;
         loop {
             let now = self.started.elapsed();
             if self.events.front().is_some_and(|event| event.at_s <= now.as_secs_f64()) {
                 if let Some(event) = self.events.pop_front() {
-                    self.apply(event, tell)?;
+                    self.apply(event, on_progress)?;
                 }
                 continue;
             }
@@ -137,10 +139,14 @@
         }
     }
 
-    fn apply(&mut self, event: FaultEvent, tell: &mut impl FnMut(&str)) -> Result<(), RunError> {
+    fn apply(
+        &mut self,
+        event: FaultEvent,
+        on_progress: &mut impl FnMut(&str),
+    ) -> Result<(), RunError> {
         let FaultEvent { at_s, fault, begins } = event;
         let verb = if begins { "begins" } else { "ends" };
-        tell(&format!("{at_s:.1} s: {:?} {} {verb}", fault.kind, fault.target));
+        on_progress(&format!("{at_s:.1} s: {:?} {} {verb}", fault.kind, fault.target));
         let same = |other: &Fault| other.kind == fault.kind && other.target == fault.target;
         self.active_faults.retain(|other| !same(other));
         if begins {
@@ -149,7 +155,7 @@
         } else {
             self.cluster.end(&fault)?;
             if is_partition(fault.kind) {
-                // Changes that could not get everywhere before count from now on.
+                // The propagation of changes that the partition held up is measured from its end.
                 let healed_us = unix_us();
                 self.open_changes().for_each(|c| c.since_us = c.since_us.max(healed_us));
             }
@@ -168,7 +174,7 @@
         Ok(())
     }
 
-    /// The changes that are not in force everywhere yet.
+    /// Returns the changes that are not in force everywhere yet.
     fn open_changes(&mut self) -> impl Iterator<Item = &mut PublishedChange> {
         self.changes.iter_mut().filter(|published| published.change.propagation_s.is_none())
     }
@@ -187,7 +193,7 @@
     }
 }
 
-/// The beginnings and ends of faults, in the order of time.
+/// Returns the beginnings and ends of faults, ordered by time.
 fn fault_events<'a>(faults: impl Iterator<Item = &'a Fault>) -> VecDeque<FaultEvent> {
     let mut events = Vec::new();
     for fault in faults {
@@ -202,7 +208,7 @@
     events.into()
 }
 
-/// Whether changes cannot get everywhere during a fault.
+/// Returns whether a fault of this kind keeps changes from reaching all sidecars.
 fn is_partition(kind: FaultKind) -> bool {
     matches!(kind, FaultKind::CutRegion | FaultKind::KillZone)
 }
@@ -230,7 +236,7 @@
     })
 }
 
-/// The cost of a role, from its usage at the end and its mean and greatest shares of a core.
+/// Returns the cost of a role from its usage at the end, and its mean and maximum shares of a core.
 fn cost(usage: &[Usage], quiet: (f64, f64), changing: (f64, f64)) -> Cost {
     let rss_kib: Vec<u64> = usage.iter().map(|usage| usage.rss_kib).collect();
     Cost {
@@ -273,7 +279,8 @@
     Ok(metrics.map(|(name, value)| (name.to_owned(), value)).into())
 }
 
-/// The longest propagation in seconds of the chosen changes; infinite if one of them did not get everywhere.
+/// Returns the longest propagation time of the changes that `chosen` selects, in seconds. It is infinite if one of them
+/// was not in force everywhere by the end of the run.
 fn longest_propagation(changes: &[Change], chosen: impl Fn(&Change) -> bool) -> f64 {
     let chosen = changes.iter().filter(|change| chosen(change));
     chosen.map(|change| change.propagation_s.unwrap_or(f64::INFINITY)).fold(0.0, f64::max)
@@ -283,7 +290,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// Bytes that have passed over loopback so far, of everything on this machine (proc_net_dev(5)).
+/// Returns the bytes received on the loopback interface so far, by all programs of this machine (proc_net_dev(5)).
 fn loopback_bytes() -> u64 {
     let table = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = table.lines().find_map(|line| line.trim().strip_prefix("lo:"));
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -1,4 +1,4 @@
-//! The file of a scale test: sizes, changes, faults, and what must hold. No I/O.
+//! Plan files of scale tests: sizes, changes, faults and expectations. No I/O.
 
 use std::fmt::Display;
 use std::ops::Range;
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// The most hollow sidecars.
+/// The maximum number of hollow sidecars.
 pub const MAX_SIDECARS: usize = 8000;
-/// The most real sidecars.
+/// The maximum number of real sidecars.
 pub const MAX_REAL_SIDECARS: usize = 64;
 const MAX_CONTROL_SERVERS: usize = 48;
 const MAX_DURATION_S: f64 = 900.0;
@@ -17,25 +17,25 @@
 const MIN_CHANGE_INTERVAL_S: f64 = 0.05;
 const MIN_DOCUMENT_BYTES: usize = 32;
 const MAX_DOCUMENT_BYTES: usize = 200_000;
-/// The memory of a hollow sidecar with its part of everything else, in KiB.
+/// The memory per hollow sidecar, including its share of all other processes, in KiB.
 const HOLLOW_SIDECAR_KIB: u64 = 400;
-/// The memory of a real sidecar with its part of everything else, in KiB.
+/// The memory per real sidecar, including its share of all other processes, in KiB.
 const REAL_SIDECAR_KIB: u64 = 24 << 10;
 
-/// A scale test.
+/// The plan of a scale test.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the test.
     pub name: String,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     #[serde(default)]
     pub seed: u64,
     #[serde(rename = "seconds")]
     duration_s: Spanned<f64>,
-    /// How many of everything there are.
+    /// The size of the test.
     pub size: Size,
-    /// The changes of configuration.
+    /// The configuration changes.
     pub changes: Changes,
     #[serde(default, rename = "fault")]
     faults: Vec<Spanned<Fault>>,
@@ -43,7 +43,7 @@
     expectations: Vec<Spanned<Expectation>>,
 }
 
-/// How many of everything there are.
+/// The size of a test: the numbers of sidecars, zones, regions, services and control servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
@@ -57,14 +57,14 @@
     control_servers: Spanned<usize>,
 }
 
-/// The changes of configuration.
+/// The configuration changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
-    /// Seconds between two changes, each of which concerns all sidecars.
+    /// The time between two changes in seconds. Each change affects all sidecars.
     #[serde(rename = "every_s")]
     interval_s: Spanned<f64>,
-    /// The length of a document.
+    /// The length of a document in bytes.
     bytes: Spanned<usize>,
 }
 
@@ -72,15 +72,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// When it begins, in seconds after the first change is in force everywhere.
+    /// The start of the fault, in seconds after the first change is in force everywhere.
     pub at_s: f64,
-    /// How long it lasts, in seconds; without it, to the end of the run.
+    /// The duration in seconds. `None` means until the end of the run.
     #[serde(rename = "for_s")]
     pub duration_s: Option<f64>,
-    /// The number of the control server, zone or region.
+    /// The number of the affected control server, zone or region.
     #[serde(default, rename = "of")]
     pub target: usize,
 }
@@ -91,27 +91,27 @@
 pub enum FaultKind {
     /// A control server is killed, and restarted with its stored state.
     KillControl,
-    /// A control server is paused: its connections stay open and silent.
+    /// A control server is paused. Its connections stay open, but it does not respond.
     StopControl,
-    /// The control servers of a region cannot reach the origin.
+    /// The control servers of a region are partitioned from the origin.
     CutRegion,
-    /// All hollow sidecars of a zone are killed, and started anew.
+    /// All hollow sidecars of a zone are killed, and restarted.
     KillZone,
-    /// The origin is killed, and another one started in its place.
+    /// The origin is killed and replaced by another one.
     ReplaceOrigin,
 }
 
-/// What must hold.
+/// An expectation: the bounds of a metric.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
     /// The name of a metric of the report.
     #[serde(rename = "figure")]
     pub metric: String,
-    /// The lower bound.
+    /// The lower bound, if any.
     #[serde(rename = "least")]
     pub min: Option<f64>,
-    /// The upper bound.
+    /// The upper bound, if any.
     #[serde(rename = "most")]
     pub max: Option<f64>,
 }
@@ -122,61 +122,61 @@
     /// A problem at a line of the file.
     #[error("line {line}: {problem}")]
     AtLine {
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong there.
+        /// The problem at this line.
         problem: Problem,
     },
-    /// The file has more faults than are allowed.
-    #[error("fault: {limit} at most expected")]
+    /// The file has too many faults.
+    #[error("fault: must be at most {limit} in total")]
     TooManyFaults {
-        /// The greatest number.
+        /// The maximum number of faults.
         limit: usize,
     },
-    /// The run would take more than half of the machine's memory.
-    #[error("it would take {needed_mib} MB, and half of this machine's memory is {half_mib} MB")]
+    /// The run would need more than half of the machine's memory.
+    #[error("the run needs {needed_mib} MB, but half of this machine's memory is {half_mib} MB")]
     TooLarge {
-        /// What the run would take, in MiB.
+        /// The memory that the run would need, in MiB.
         needed_mib: u64,
         /// Half of the machine's memory, in MiB.
         half_mib: u64,
     },
 }
 
-/// What is wrong at a place in the file.
+/// A problem in a plan file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
-    /// It is no TOML, or no plan.
+    /// The text is not valid TOML, or has a wrong key or type.
     #[error("{0}")]
     Syntax(String),
-    /// A number is out of its range.
-    #[error("{key}: from {min} to {max} expected, not {value}")]
+    /// A number is out of range.
+    #[error("{key}: must be from {min} to {max}, not {value}")]
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// The least value.
+        /// The minimum value.
         min: String,
-        /// The greatest value.
+        /// The maximum value.
         max: String,
         /// The value in the file.
         value: String,
     },
-    /// A fault begins after the end of the run.
-    #[error("fault.at_s: from 0 to {duration_s} expected")]
+    /// A fault does not begin within the run.
+    #[error("fault.at_s: must be from 0 to {duration_s}")]
     FaultTime {
-        /// The length of the run, in seconds.
+        /// The duration of the run, in seconds.
         duration_s: f64,
     },
-    /// A fault's target does not exist.
-    #[error("fault.of: below {count} expected, not {target}")]
+    /// The target of a fault does not exist.
+    #[error("fault.of: must be below {count}, not {target}")]
     FaultTarget {
-        /// How many targets there are.
+        /// The number of targets.
         count: usize,
         /// The target in the file.
         target: usize,
     },
-    /// An expectation without a bound.
-    #[error("expect.least, most: one of them expected")]
+    /// An expectation has no bound.
+    #[error("expect.least, most: at least one of them must be set")]
     NoBound,
 }
 
@@ -187,7 +187,7 @@
     }
 }
 
-/// The value, if it is in its range.
+/// Returns the value if it is from `min` to `max`.
 fn in_range<T: PartialOrd + Display + Copy>(
     text: &str,
     value: &Spanned<T>,
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     ///
-    /// The first problem, with its line and key.
+    /// Returns the first problem, with its line and key.
     pub fn parse(text: &str, sidecar_count: Option<usize>) -> Result<Plan, PlanError> {
         let mut plan: Plan = toml::from_str(text).map_err(|error| {
             let problem = Problem::Syntax(error.message().to_owned());
@@ -281,12 +281,12 @@
         Ok(())
     }
 
-    /// Checks that the run takes at most half of the machine's memory, which is `total_kib`. Returns what it takes,
-    /// in KiB.
+    /// Checks that the run needs at most half of `total_kib`, the memory of the machine. Returns the memory that the
+    /// run needs, in KiB.
     ///
     /// # Errors
     ///
-    /// When it would take more.
+    /// [`PlanError::TooLarge`] if the run needs more.
     pub fn check_memory(&self, total_kib: u64) -> Result<u64, PlanError> {
         let needed_kib = self.sidecar_count() as u64 * HOLLOW_SIDECAR_KIB
             + self.real_sidecar_count() as u64 * REAL_SIDECAR_KIB;
@@ -297,62 +297,63 @@
         Ok(needed_kib)
     }
 
-    /// How long the run takes after the first change is in force everywhere.
+    /// Returns the duration of the run after the first change is in force everywhere.
     pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(*self.duration_s.as_ref())
     }
 
-    /// The number of hollow sidecars.
+    /// Returns the number of hollow sidecars.
     pub fn sidecar_count(&self) -> usize {
         *self.size.sidecars.as_ref()
     }
 
-    /// The number of real sidecars.
+    /// Returns the number of real sidecars.
     pub fn real_sidecar_count(&self) -> usize {
         self.size.real.as_ref().map_or(0, |real| *real.as_ref())
     }
 
-    /// The number of zones.
+    /// Returns the number of zones.
     pub fn zone_count(&self) -> usize {
         *self.size.zones.as_ref()
     }
 
-    /// The number of regions.
+    /// Returns the number of regions.
     pub fn region_count(&self) -> usize {
         *self.size.regions.as_ref()
     }
 
-    /// The number of services.
+    /// Returns the number of services.
     pub fn service_count(&self) -> usize {
         *self.size.services.as_ref()
     }
 
-    /// The number of control servers.
+    /// Returns the number of control servers.
     pub fn control_server_count(&self) -> usize {
         *self.size.control_servers.as_ref()
     }
 
-    /// The region of a zone. A control server is in the zone of its own number.
+    /// Returns the region of a zone, or of a control server, which is in the zone of the same number modulo the number
+    /// of zones.
     pub fn region_of(&self, zone: usize) -> usize {
         (zone % self.zone_count()) * self.region_count() / self.zone_count()
     }
 
-    /// The time between two changes.
+    /// Returns the time between two changes.
     pub fn change_interval(&self) -> Duration {
         Duration::from_secs_f64(*self.changes.interval_s.as_ref())
     }
 
-    /// The length of a document in bytes.
+    /// Returns the length of a document in bytes.
     pub fn document_bytes(&self) -> usize {
         *self.changes.bytes.as_ref()
     }
 
-    /// The faults, in the order of the file.
+    /// Returns the faults, in the order of the file.
     pub fn faults(&self) -> impl Iterator<Item = &Fault> {
         self.faults.iter().map(Spanned::as_ref)
     }
 
-    /// What must hold, in the order of the file.
+    /// Returns the expectations, in the order of the file.
     pub fn expectations(&self) -> impl Iterator<Item = &Expectation> {
         self.expectations.iter().map(Spanned::as_ref)
     }
--- a/crates/scale-test/src/process.rs
+++ b/crates/scale-test/src/process.rs
@@ -1,4 +1,4 @@
-//! The processes of a scale test. They end with the process that has started them.
+//! Child processes of a scale test, which end with the process that started them.
 
 use std::fs::File;
 use std::path::Path;
@@ -10,16 +10,16 @@
 
 use crate::error::RunError;
 
-/// A running process. Dropping it kills it.
+/// A running process, which is killed when the handle is dropped.
 pub(crate) struct Process {
     child: Child,
-    /// Its standard input, if that is a pipe.
+    /// The pipe to its standard input. `None` if that is no pipe.
     pub input: Option<ChildStdin>,
 }
 
 impl Process {
-    /// Starts a command of [`guarded`]. Its standard output becomes the returned pipe, its error output is appended to
-    /// the log.
+    /// Starts a command created by [`guarded`]. Returns the pipe of its standard output; its standard error is appended
+    /// to the file `log`.
     pub fn start(mut command: Command, log: &Path) -> Result<(Process, ChildStdout), RunError> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut child = command.stdout(Stdio::piped()).stderr(log).spawn()?;
@@ -27,17 +27,17 @@
         Ok((Process { input: child.stdin.take(), child }, output))
     }
 
-    /// What it has used so far; nothing once it has exited.
+    /// Returns the resource usage so far, or zeros if the process has exited.
     pub fn usage(&self) -> Usage {
         process_usage(self.child.id()).unwrap_or_default()
     }
 
-    /// Pauses it (SIGSTOP).
+    /// Pauses the process (SIGSTOP).
     pub fn pause(&self) {
         signal_process(self.child.id(), Signal::STOP);
     }
 
-    /// Resumes it (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn resume(&self) {
         signal_process(self.child.id(), Signal::CONT);
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// A command that runs a program under the process guard, so that it ends with this process in any case.
+/// Creates a command that runs a program under the process guard, which kills it even if this process is killed.
 pub(crate) fn guarded(program: &Path) -> Result<Command, RunError> {
     let mut command = Command::new(built("lb-process-guard", false)?);
     command.arg(std::process::id().to_string()).arg(program).stdin(Stdio::piped());
--- a/crates/scale-test/src/regression.rs
+++ b/crates/scale-test/src/regression.rs
@@ -5,13 +5,13 @@
 pub struct LineFit {
     /// The value at size zero.
     pub intercept: f64,
-    /// The growth for each unit of size.
+    /// The growth per unit of size.
     pub slope: f64,
-    /// How far each point lies above the line.
+    /// The difference of each point's value from the line; positive above the line.
     pub residuals: Vec<f64>,
 }
 
-/// Fits a line to points of size and value. There is none through fewer than two points, or through points of one
+/// Fits a line to points of size and value. Returns `None` for fewer than two points, or if all points have the same
 /// size.
 pub fn fit_line(points: &[(f64, f64)]) -> Option<LineFit> {
     let count = points.len() as f64;
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,4 +1,4 @@
-//! What a scale test measures. The stored names are those of the JSON lines that earlier versions printed.
+//! The results of a scale test. The serialized names are fixed, because stored JSON lines use them.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::plan::Expectation;
 
-/// What the processes of one role cost.
+/// The processor time and memory of the processes of a role.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Cost {
-    /// The mean share of a core per process while nothing is changed.
+    /// The mean share of a core per process without changes or faults.
     pub cpu_quiet: f64,
-    /// The greatest share of a core of a process while nothing is changed.
+    /// The maximum share of a core of a process without changes or faults.
     #[serde(rename = "cpu_quiet_most")]
     pub cpu_quiet_max: f64,
     /// The mean share of a core per process under changes and faults.
     pub cpu_changing: f64,
-    /// The greatest share of a core of a process under changes and faults.
+    /// The maximum share of a core of a process under changes and faults.
     #[serde(rename = "cpu_changing_most")]
     pub cpu_changing_max: f64,
-    /// The greatest resident memory of a process, in KiB.
+    /// The maximum resident memory of a process, in KiB.
     #[serde(rename = "rss_kb_most")]
     pub rss_kib_max: u64,
     /// The mean resident memory of a process, in KiB.
@@ -27,18 +27,18 @@
     pub rss_kib_mean: u64,
 }
 
-/// A change of configuration, and how long it took to be in force everywhere.
+/// A configuration change and its propagation time.
 #[derive(Clone, Debug, Serialize)]
 pub struct Change {
-    /// Its generation.
+    /// The generation of the change.
     pub generation: u64,
-    /// When it was published, in seconds after the first change was in force everywhere.
+    /// The time of publication, in seconds after the first change was in force everywhere.
     pub at_s: f64,
-    /// Seconds from its publication, or from the end of a partition, until it was in force everywhere. None: not within
-    /// the run.
+    /// The time from the publication, or from the end of the last partition, until the change was in force everywhere,
+    /// in seconds. `None` if it was not in force everywhere by the end of the run.
     #[serde(rename = "took_s")]
     pub propagation_s: Option<f64>,
-    /// The faults that were active when it was published.
+    /// The faults that were active at the time of publication.
     #[serde(rename = "during")]
     pub active_faults: String,
 }
@@ -52,21 +52,21 @@
     /// The number of real sidecars.
     #[serde(rename = "real")]
     pub real_sidecar_count: usize,
-    /// Seconds from the start of the sidecars until the first change was in force everywhere.
+    /// The time from the start of the sidecars until the first change was in force everywhere, in seconds.
     pub start_s: f64,
-    /// All changes.
+    /// All changes after the first one.
     pub changes: Vec<Change>,
     /// Metrics by name.
     #[serde(rename = "figures")]
     pub metrics: BTreeMap<String, f64>,
-    /// Costs by role. Those of hollow sidecars are for each sidecar.
+    /// Costs by role. The costs of hollow sidecars are per sidecar, not per process.
     pub costs: BTreeMap<String, Cost>,
-    /// The expectations that do not hold, in words.
+    /// Descriptions of the expectations that failed.
     #[serde(rename = "not_held")]
     pub failures: Vec<String>,
 }
 
-/// The expectations that metrics do not satisfy, in words.
+/// Returns descriptions of the expectations that the metrics do not satisfy.
 pub(crate) fn failures<'a>(
     expectations: impl Iterator<Item = &'a Expectation>,
     metrics: &BTreeMap<String, f64>,
--- a/crates/scale-test/src/runner.rs
+++ b/crates/scale-test/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a plan.
+//! Runs a plan.
 
 use std::io;
 use std::path::Path;
@@ -12,25 +12,25 @@
 use crate::plan::Plan;
 use crate::report::Report;
 
-/// How long the first change may take to be in force everywhere.
+/// The time within which the first change must be published and in force everywhere.
 pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(120);
-/// Progress is told each time that this many more sidecars have the first change.
+/// The number of further sidecars with the first change after which progress is reported.
 const PROGRESS_STEP: usize = 500;
 
-/// Plays a plan. `own_program` is a program that runs [`crate::hollow::run`] when it is called with `scale hollow`.
-/// `tell` is called with lines about the progress.
+/// Runs a plan. `own_program` is a program that calls [`crate::hollow::run`] when its arguments are `scale hollow`.
+/// `on_progress` is called with lines that describe the progress.
 ///
 /// # Errors
 ///
-/// What could not be done. A run whose expectations fail is no error.
+/// Fails if the plan cannot be carried out. A run whose expectations fail is no error.
 pub fn run(
     plan: &Plan,
     own_program: &Path,
-    mut tell: impl FnMut(&str),
+    mut on_progress: impl FnMut(&str),
 ) -> Result<Report, RunError> {
     let needed_kib = plan.check_memory(total_memory_kib()?)?;
-    tell(&format!(
-        "{} hollow sidecars in {} processes, {} real ones, {} control machines: up to {} MB",
+    on_progress(&format!(
+        "{} hollow sidecars in {} processes, {} real sidecars, {} control servers: up to {} MB",
         plan.sidecar_count(),
         plan.zone_count(),
         plan.real_sidecar_count(),
@@ -42,10 +42,10 @@
     let first = cluster.publish(START_TIMEOUT)?;
     let started = Instant::now();
     cluster.start_sidecars()?;
-    wait_for_first_change(&cluster, first, started, &mut tell)?;
+    wait_for_first_change(&cluster, first, started, &mut on_progress)?;
     let start_s = started.elapsed().as_secs_f64();
-    tell(&format!("all have the first change after {start_s:.1} s"));
-    let report = measure(&mut cluster, &mut tell)?;
+    on_progress(&format!("the first change is in force everywhere after {start_s:.1} s"));
+    let report = measure(&mut cluster, &mut on_progress)?;
     Ok(Report { start_s, ..report })
 }
 
@@ -53,10 +53,10 @@
     cluster: &Cluster<'_>,
     generation: u64,
     started: Instant,
-    tell: &mut impl FnMut(&str),
+    on_progress: &mut impl FnMut(&str),
 ) -> Result<(), RunError> {
     let total = cluster.plan.sidecar_count();
-    let mut told = 0;
+    let mut reported_steps = 0;
     loop {
         let reached = cluster.propagation(generation).sidecar_count;
         if reached >= total {
@@ -66,22 +66,22 @@
             let logs = cluster.log_directory().to_owned();
             return Err(RunError::FirstChange { reached, total, logs });
         }
-        if reached / PROGRESS_STEP > told {
-            told = reached / PROGRESS_STEP;
-            tell(&format!("{reached} have the first change"));
+        if reached / PROGRESS_STEP > reported_steps {
+            reported_steps = reached / PROGRESS_STEP;
+            on_progress(&format!("the first change is in force at {reached} sidecars"));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The machine's memory in KiB, from /proc/meminfo; 0 if that does not tell.
+/// Returns the memory of the machine in KiB, from /proc/meminfo, or 0 if the file does not contain it.
 fn total_memory_kib() -> io::Result<u64> {
     let meminfo = std::fs::read_to_string("/proc/meminfo")?;
     let total = meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     Ok(total.and_then(|text| text.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0))
 }
 
-/// Raises the limit on open descriptors as far as the system allows.
+/// Raises the soft limit on open descriptors to the hard limit.
 fn raise_descriptor_limit() {
     let maximum = getrlimit(Resource::Nofile).maximum;
     let _ = setrlimit(Resource::Nofile, Rlimit { current: maximum, maximum });
--- a/crates/scale-test/tests/compatibility.rs
+++ b/crates/scale-test/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Files of earlier versions are read as they were, and what they say is written in the same form.
+//! Tests that plan files and reports keep the form of earlier versions.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn run_file_with_every_key_is_read() {
-    let plan = Plan::parse(EVERY_KEY, None).expect("a sound file");
+fn plan_file_with_every_key_is_parsed() {
+    let plan = Plan::parse(EVERY_KEY, None).expect("a valid file");
     assert_eq!((plan.name.as_str(), plan.seed), ("every key", 7));
     assert_eq!(plan.duration(), Duration::from_millis(12_500));
     assert_eq!((plan.sidecar_count(), plan.real_sidecar_count()), (120, 2));
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn faults_and_expectations_are_read_and_written_in_their_form() {
-    let plan = Plan::parse(EVERY_KEY, None).expect("a sound file");
+fn faults_and_expectations_are_parsed_and_serialized_unchanged() {
+    let plan = Plan::parse(EVERY_KEY, None).expect("a valid file");
     assert_eq!(
         values(plan.faults()),
         json!([
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn number_of_sidecars_is_replaced_and_defaults_hold() {
+fn sidecar_count_is_overridden_and_defaults_apply() {
     let short = EVERY_KEY.replace("seed = 7\n", "").replace("real = 2\n", "");
-    let plan = Plan::parse(&short, Some(300)).expect("a sound file");
+    let plan = Plan::parse(&short, Some(300)).expect("a valid file");
     assert_eq!((plan.seed, plan.sidecar_count(), plan.real_sidecar_count()), (0, 300, 0));
 }
 
 #[test]
-fn report_is_written_in_the_form_of_earlier_versions() {
+fn report_is_serialized_in_the_form_of_earlier_versions() {
     let cost = Cost {
         cpu_quiet: 0.125,
         cpu_quiet_max: 0.25,
--- a/crates/scale-test/tests/small.rs
+++ b/crates/scale-test/tests/small.rs
@@ -1,4 +1,4 @@
-//! A small run with real processes; errors in plan files; fitted lines.
+//! Tests of a small run with real processes, of errors in plan files, and of the regression.
 
 use fakes::program::built;
 use scale_test::plan::Plan;
@@ -43,12 +43,13 @@
 most = 0
 "#;
 
-/// The bounds on time are measured elsewhere. Here every change must be in force everywhere in the end.
+/// Checks that every change is in force everywhere by the end. The bounds on propagation times are checked by the runs
+/// in `runs/`.
 #[test]
 fn every_change_gets_everywhere_despite_a_partition_and_a_killed_control_server() {
-    let plan = Plan::parse(SMALL, None).expect("sound");
+    let plan = Plan::parse(SMALL, None).expect("a valid plan");
     let own_program = built("lbctl", false).expect("the program");
-    let report = run(&plan, &own_program, |_| {}).expect("it can be played");
+    let report = run(&plan, &own_program, |_| {}).expect("the run is carried out");
     assert_eq!(report.failures, Vec::<String>::new());
     assert!(report.changes.len() >= 4, "{:?}", report.changes);
     assert!(report.changes.iter().all(|c| c.propagation_s.is_some()), "{:?}", report.changes);
@@ -59,10 +60,10 @@
 #[test]
 fn errors_name_line_and_key() {
     let wrong = [
-        ("sidecars = 120", "sidecars = 9000", "line 7: size.sidecars: from 1 to 8000"),
-        ("zones = 3", "zones = 4", "line 9: size.zones: from 1 to 3 expected, not 4"),
+        ("sidecars = 120", "sidecars = 9000", "line 7: size.sidecars: must be from 1 to 8000"),
+        ("zones = 3", "zones = 4", "line 9: size.zones: must be from 1 to 3, not 4"),
         ("every_s = 1.0", "every_s = 0", "line 15: changes.every_s"),
-        ("of = 1", "of = 3", "line 18: fault.of: below 3 expected, not 3"),
+        ("of = 1", "of = 3", "line 18: fault.of: must be below 3, not 3"),
         ("what = \"kill_control\"", "what = \"eat\"", "line 25: unknown variant"),
         ("most = 0", "", "line 30: expect.least, most"),
         ("seed = 3", "seeds = 3", "line 3: unknown field"),
@@ -71,7 +72,7 @@
         let error = Plan::parse(&SMALL.replacen(from, to, 1), None).expect_err(to).to_string();
         assert!(error.starts_with(message), "{error} instead of {message}");
     }
-    let plan = Plan::parse(SMALL, Some(8000)).expect("sound");
+    let plan = Plan::parse(SMALL, Some(8000)).expect("a valid plan");
     assert!(plan.check_memory(64 << 20).is_ok());
     let error = plan.check_memory(4 << 20).expect_err("too much for this machine").to_string();
     assert!(error.contains("half of this machine's memory is 2048 MB"), "{error}");
