--- a/crates/fakes/src/account.rs
+++ b/crates/fakes/src/account.rs
@@ -26,11 +26,11 @@
 const PAUSE_GRACE: Duration = Duration::from_secs(5);
 /// The time after the client's response within which an attempt in flight may still arrive at a server.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
-/// The time after its client has left within which a request may still be sent to a server: the limit of the
-/// protocol, and an allowance for a busy machine.
-const LEAVE_GRACE: Duration = Duration::from_millis(100 + 250);
-/// The excess of the time left that a server is told over the time left for the client: the limit of the protocol,
+/// The time after a client has left within which its request may still be sent to a server: the limit of the protocol,
 /// and an allowance for a busy machine.
+const LEAVE_GRACE: Duration = Duration::from_millis(100 + 250);
+/// The tolerated excess of the time left that a request states over the actual time left of its client: the limit of
+/// the protocol, and an allowance for a busy machine.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150 + 250);
 /// The longest latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 1_000_000_000;
--- a/crates/fakes/src/account/report.rs
+++ b/crates/fakes/src/account/report.rs
@@ -106,7 +106,7 @@
     /// Attempts that arrived at a server after their client had left.
     #[serde(skip_serializing_if = "is_zero")]
     pub after_leaving: u64,
-    /// Attempts that told a server a longer time left than the client had.
+    /// Attempts that stated a longer time left to a server than the client had.
     #[serde(skip_serializing_if = "is_zero")]
     pub excess_time_left: u64,
     /// Attempts that arrived at a server long after it was listed as draining.
--- a/crates/fakes/src/clients/idle.rs
+++ b/crates/fakes/src/clients/idle.rs
@@ -18,8 +18,8 @@
 const SILENT_TIME: Duration = Duration::from_millis(1500);
 /// The time between the end of a silent connection and the next one.
 const SILENT_PAUSE: Duration = Duration::from_millis(50);
-/// The pause of a resting client between requests: a sidecar closes idle connections after 2.5 s, and the next request
-/// should arrive around that time.
+/// The range of the pause of a resting client between requests: a sidecar closes idle connections after 2.5 s, and the
+/// next request should arrive around that time.
 pub const REST_TIME: Range<Duration> = Duration::from_millis(2400)..Duration::from_millis(2510);
 /// The probability that a resting client opens a connection and pauses before its first request.
 const REST_BEFORE_FIRST_PROBABILITY: f64 = 0.3;
--- a/crates/fault-injection/tests/relays.rs
+++ b/crates/fault-injection/tests/relays.rs
@@ -113,13 +113,13 @@
     network.set_address(SERVER, listener.local_addr().expect("an address"));
     let relay = runtime().block_on(Relay::start(network, ME, SERVER)).expect("a relay");
     let mut near = connect(relay.address);
-    let (far, _) = listener.accept().expect("it comes");
+    let (far, _) = listener.accept().expect("a connection");
     socket2::SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("set");
     drop(far);
     let error = near.read(&mut [0; 9]).expect_err("a reset");
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     let mut near = connect(relay.address);
-    let (far, _) = listener.accept().expect("it comes");
+    let (far, _) = listener.accept().expect("a connection");
     drop(far);
     assert_eq!(near.read(&mut [0; 9]).expect("an end"), 0);
 }
