--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the balancer share: settings, servers, and a balancer with its actions.
+//! Shared by the tests of the balancer: settings, endpoints, load reports, and a balancer that is driven event by
+//! event with a clock that the test sets.
 #![allow(dead_code)]
 
 use lb_sidecar::api::*;
@@ -6,12 +7,15 @@
 use lb_sidecar::settings::Settings;
 use serde_json::{Value, json};
 
+/// One millisecond.
 pub const MS: Micros = 1_000;
+/// One second.
 pub const S: Micros = 1_000_000;
+/// The time at which a balancer under test starts, unless the test gives another.
 pub const START: Micros = 1_000 * S;
 
-/// Settings with an idempotent class (0), one with idempotency keys that a zone deduplicates (1) and one
-/// that is neither (2).
+/// Settings with three classes: `look` (0) is idempotent, `keep` (1) has idempotency keys that the servers of a zone
+/// deduplicate, `order` (2) is neither.
 pub fn settings_json() -> Value {
     json!({
         "classes": [
@@ -42,12 +46,15 @@
     })
 }
 
+/// The settings of [`settings_json`], changed by `change` before they are parsed.
 pub fn settings(change: impl FnOnce(&mut Value)) -> Settings {
     let mut json = settings_json();
     change(&mut json);
-    Settings::from_json(json.to_string().as_bytes()).expect("the test's settings are sound")
+    Settings::from_json(json.to_string().as_bytes()).expect("the test's settings are valid")
 }
 
+/// A ready endpoint with id `n`: in zone 0 if `n` is even, in zone 1 otherwise. Endpoints `2k` and `2k + 1` share a
+/// cell.
 pub fn server(n: u64) -> ServerEntry {
     ServerEntry {
         id: ServerId(n),
@@ -60,72 +67,84 @@
     }
 }
 
+/// The endpoint of [`server`] with this health.
 pub fn with_health(n: u64, health: Health) -> ServerEntry {
     ServerEntry { health, ..server(n) }
 }
 
+/// A load report with `queue` as the value of both columns, the queue length and the requests in flight.
 pub fn report(queue: f32) -> LoadReport {
     LoadReport([queue, queue].into_iter().collect())
 }
 
-/// One balancer under test.
+/// A balancer under test, its clock, and the requests sent through it.
 pub struct Bench {
     pub balancer: Balancer,
+    /// The time at which the next event is handled.
     pub now: Micros,
+    /// Receives the actions of an event; empty between events.
     pub out: Vec<Action>,
-    next: u64,
-    key: u64,
-    /// Whether requests are over their tenant's quota.
+    /// The id of the last request.
+    last_id: u64,
+    /// The affinity key of new requests.
+    affinity_key: u64,
+    /// Whether new requests are over their tenant's quota.
     pub over_quota: bool,
 }
 
 impl Bench {
+    /// A balancer that starts at [`START`] with a cached endpoint list of `servers`.
     pub fn new(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Bench {
         Bench::new_at(START, settings, seed, servers)
     }
 
-    /// One whose clock reads `now` at the start.
+    /// The same as [`Bench::new`], with a clock that starts at `now`.
     pub fn new_at(now: Micros, settings: Settings, seed: u64, servers: &[ServerEntry]) -> Bench {
         let mut bench = Bench {
             balancer: Balancer::new(settings, seed, now),
             now,
             out: Vec::new(),
-            next: 0,
-            key: 0,
+            last_id: 0,
+            affinity_key: 0,
             over_quota: false,
         };
         bench.servers(ListKind::Cached, servers);
         bench
     }
 
+    /// Handles an event now and returns the actions.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         self.balancer.handle(self.now, event, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
+    /// Replaces or changes the endpoint list, depending on `kind`.
     pub fn servers(&mut self, kind: ListKind, entries: &[ServerEntry]) -> Vec<Action> {
         self.event(Event::EndpointUpdate { kind, entries })
     }
 
+    /// Sends a request without a work hint.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.request_with(class, None)
     }
 
+    /// Sends a request of class 0 with this affinity key.
     pub fn request_for(&mut self, key: u64) -> (RequestId, Vec<Action>) {
-        self.key = key;
+        self.affinity_key = key;
         let sent = self.request(0);
-        self.key = 0;
+        self.affinity_key = 0;
         sent
     }
 
+    /// Sends a request with `hint` as the client's estimate of its work.
     pub fn request_with(&mut self, class: usize, hint: Option<Micros>) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let out = self.event(Event::Request(NewRequest {
             id,
             class,
             tenant: 0,
-            affinity_key: self.key,
+            affinity_key: self.affinity_key,
             time_left: S,
             work_hint: hint,
             client_retry: false,
@@ -134,6 +153,7 @@
         (id, out)
     }
 
+    /// Ends an attempt after 20 ms with this outcome and a load report of `queue`.
     pub fn answer(
         &mut self,
         id: RequestId,
@@ -153,7 +173,7 @@
         }))
     }
 
-    /// Sends one request and has it answered after 20 ms; returns the selected server, if any.
+    /// Sends one request and ends its first attempt with success 20 ms later. Returns the selected server, if any.
     pub fn round(&mut self, class: usize, queue: f32) -> Option<ServerId> {
         let (id, out) = self.request(class);
         let to = sent(&out)?;
@@ -164,7 +184,7 @@
 }
 
 impl Bench {
-    /// Has the first attempt of a request succeed, with this answer time.
+    /// Ends the first attempt of a request with success; its response took `latency`.
     pub fn answer_after(&mut self, latency: Micros, id: RequestId, server: ServerId, queue: f32) {
         self.event(Event::AttemptEnded(AttemptEnd {
             id,
@@ -177,7 +197,7 @@
         }));
     }
 
-    /// Sends so many requests, one after the other, each answered after 20 ms.
+    /// Sends `count` requests of class 0 one after the other, each answered after 20 ms.
     pub fn rounds(&mut self, count: usize) {
         for _ in 0..count {
             self.round(0, 1.0);
@@ -185,7 +205,7 @@
     }
 }
 
-/// The server of the first send among these actions.
+/// The server of the first [`Action::Send`] among `actions`.
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -193,10 +213,12 @@
     })
 }
 
+/// Whether `actions` contain an [`Action::Reject`].
 pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
+/// Whether `actions` contain an [`Action::Fail`].
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
