--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,5 +1,5 @@
-//! The admin listener of the real program: statistics, disabled servers, draining, and a process that is replaced
-//! while it serves. Also bodies that are longer than what is buffered.
+//! Tests of the admin listener of the real program: statistics, disabled servers, draining, and the replacement of a
+//! process while it serves. Also tests of bodies that are longer than the buffers.
 
 mod common;
 #[path = "common/net.rs"]
@@ -19,7 +19,7 @@
 use serde_json::Value;
 use socket2::SockRef;
 
-/// The name under which fake discovery lists a server.
+/// The host name under which fake discovery lists a server.
 fn name_of(server: &Server) -> String {
     format!("s-{}", server.at.port())
 }
@@ -27,25 +27,26 @@
 /// Sends `text` to the admin listener and returns the whole response.
 fn call(admin: SocketAddr, text: &str) -> String {
     let mut socket = TcpStream::connect(admin).expect("connected");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     socket.write_all(text.as_bytes()).expect("written");
     let mut all = String::new();
     let _ = socket.read_to_string(&mut all);
     all
 }
 
+/// Opens an admin listener and raises the socket limit, for its connections.
 fn with_admin(config: &mut Value) {
     config["admin_addr"] = "127.0.0.1:0".into();
     config["limits"]["sockets"] = 128.into();
 }
 
-/// A figure of the response to `show-stat`.
-fn figure(statistics: &str, name: &str) -> u64 {
+/// A value from a response to `show-stat`.
+fn statistic(statistics: &str, name: &str) -> u64 {
     let line = statistics.lines().find_map(|l| l.strip_prefix(&format!("sidecar.{name}=")));
     line.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {statistics}"))
 }
 
-/// Sends requests with these numbers, which must all be served.
+/// Sends a request for each number and checks that it is served.
 fn send_requests(sidecar: &Sidecar, numbers: std::ops::Range<usize>, round: &str) {
     for n in numbers {
         let answer = sidecar.exchange(&look(&format!("{round}-{n}")));
@@ -53,7 +54,7 @@
     }
 }
 
-/// What the log tells of a change of the list, and what operators are told of the list in force.
+/// A change of the endpoint list is logged, and `show-discovery` has the version of the list in force.
 #[test]
 fn endpoint_list_in_force_and_its_changes_can_be_seen() {
     let (server, joining) = (Server::echo(), Server::echo());
@@ -72,11 +73,11 @@
     until("the last list is in force", || version().as_deref() == Some("3"));
     let log = sidecar.log();
     let changed = |field: &str, server: &Server| {
-        let tells = |line: &&str| {
+        let is_logged = |line: &&str| {
             line.contains("endpoint list changed")
                 && line.contains(&format!("\"{field}\":\"[{}]\"", server.at))
         };
-        assert!(log.lines().any(|line| tells(&line)), "{field} of {} in {log}", server.at);
+        assert!(log.lines().any(|line| is_logged(&line)), "{field} of {} in {log}", server.at);
     };
     changed("added_addresses", &joining);
     changed("draining_addresses", &server);
@@ -92,22 +93,25 @@
     assert_eq!(call(admin, "ready\n"), "done\n");
     let statistics = call(admin, "show-stat\r\n");
     assert!(statistics.ends_with("\nend\n"), "{statistics}");
-    assert_eq!((figure(&statistics, "ok.look"), figure(&statistics, "tries")), (7, 7));
-    assert_eq!((figure(&statistics, "active"), figure(&statistics, "shed.look")), (0, 0));
-    assert_eq!((figure(&statistics, "pool_size"), figure(&statistics, "pool_ejected")), (1, 0));
+    assert_eq!((statistic(&statistics, "ok.look"), statistic(&statistics, "tries")), (7, 7));
+    assert_eq!((statistic(&statistics, "active"), statistic(&statistics, "shed.look")), (0, 0));
+    assert_eq!(
+        (statistic(&statistics, "pool_size"), statistic(&statistics, "pool_ejected")),
+        (1, 0)
+    );
     for invalid in ["disable-server nobody\n", "enable-server nobody\n", "rady\n", "\n"] {
         assert!(call(admin, invalid).starts_with("error: "), "{invalid:?}");
     }
     let long = "x".repeat(5000) + "\n";
     assert!(call(admin, &long).starts_with("error: "));
-    // Half of a command is not one.
+    // A command without its line end is not executed.
     let mut half = TcpStream::connect(admin).expect("connected");
     half.write_all(format!("disable-server {}", name_of(&server)).as_bytes()).expect("written");
     half.shutdown(std::net::Shutdown::Write).expect("ended");
     let mut response = String::new();
     half.read_to_string(&mut response).expect("a response");
     assert!(response.starts_with("error: "), "{response}");
-    assert_eq!(figure(&call(admin, "show-stat\n"), "pool_ejected"), 0);
+    assert_eq!(statistic(&call(admin, "show-stat\n"), "pool_ejected"), 0);
     drop(silent);
 }
 
@@ -119,14 +123,14 @@
     for _ in 0..2 {
         assert_eq!(call(admin, &format!("disable-server {}\n", name_of(&disabled))), "done\n");
     }
-    assert_eq!(figure(&call(admin, "show-stat\n"), "pool_ejected"), 1);
+    assert_eq!(statistic(&call(admin, "show-stat\n"), "pool_ejected"), 1);
     send_requests(&sidecar, 0..20, "a");
     assert_eq!(disabled.seen().len(), 0);
     // A new list, from another discovery, lists it as active.
     let other = discovery(&[&disabled, &server, &third]);
     sidecar.replace_config(&sidecar.config_with_discovery(&other));
     sidecar.signal("HUP");
-    until("the new list is here", || figure(&call(admin, "show-stat\n"), "pool_size") == 3);
+    until("the new list is in force", || statistic(&call(admin, "show-stat\n"), "pool_size") == 3);
     send_requests(&sidecar, 0..20, "b");
     assert_eq!(disabled.seen().len(), 0);
     assert_eq!(server.seen().len() + third.seen().len(), 40);
@@ -143,12 +147,16 @@
     let mut idle = sidecar.connect();
     idle.write_all(look("a").as_bytes()).expect("written");
     let mut buf = [0; 1024];
-    assert!(idle.read(&mut buf).expect("an answer") > 0);
+    assert!(idle.read(&mut buf).expect("a response") > 0);
     assert_eq!(call(admin, "drain\n"), "done\n");
     let ready = || sidecar.exchange("GET /health/ready HTTP/1.1\r\n\r\n");
     assert!(ready().starts_with("HTTP/1.1 503"));
     assert!(call(admin, "ready\n").starts_with("error: "));
-    assert_eq!(idle.read(&mut buf).expect("an end"), 0, "an idle client is closed");
+    assert_eq!(
+        idle.read(&mut buf).expect("the connection is closed"),
+        0,
+        "an idle client is closed"
+    );
     let late = sidecar.exchange(&look("b"));
     assert!(late.starts_with("HTTP/1.1 200") && late.contains("close"), "{late}");
     assert_eq!(call(admin, "resume\n"), "done\n");
@@ -156,7 +164,8 @@
     assert!(!sidecar.exchange(&look("c")).contains("close"));
 }
 
-/// The program with this listener as descriptor 5, as the platform passes it.
+/// A command that runs the program with this listener as descriptor 5, as the platform passes it. `folder` is its
+/// folder for temporary files, which contains the stored admin state.
 fn program_with_passed_socket(listener: &TcpListener, folder: &Path) -> Command {
     let copy = OwnedFd::from(listener.try_clone().expect("a second handle"));
     let mut command = Command::new("sh");
@@ -186,7 +195,7 @@
             let mut served = 0;
             while !stop.load(Ordering::SeqCst) {
                 let mut socket = TcpStream::connect(at).expect("never refused");
-                socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+                socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
                 socket.write_all(look(&format!("load-{served}")).as_bytes()).expect("written");
                 let answer = net::first_answer(socket);
                 assert!(answer.starts_with("HTTP/1.1 200"), "request {served}: {answer:?}");
@@ -198,8 +207,8 @@
     };
     let new = start();
     until("the successor serves", || call(new.admin(), "ready\n") == "done\n");
-    // What is ordered at one of the two holds at both.
-    assert_eq!(figure(&call(new.admin(), "show-stat\n"), "pool_ejected"), 1);
+    // The two processes share the admin state, so a server that was disabled at one is disabled at both.
+    assert_eq!(statistic(&call(new.admin(), "show-stat\n"), "pool_ejected"), 1);
     old.signal("TERM");
     assert!(old.wait_for_exit().success());
     send_requests(&new, 0..20, "after");
@@ -211,7 +220,7 @@
     assert!(!disabled.seen().is_empty());
 }
 
-/// Bodies that are longer than what is buffered.
+/// Tests of bodies that are longer than the buffers.
 mod large_bodies {
     use super::*;
     use net::{first_answer, order};
@@ -219,7 +228,7 @@
     /// The length of a long body, in bytes.
     const LONG: usize = 3 << 20;
 
-    /// Sends the head of a request; its body is left to the test.
+    /// Sends the head of a request. The test sends the body.
     fn send_head(sidecar: &Sidecar, id: &str, framing: &str) -> TcpStream {
         let mut socket = sidecar.connect();
         let head = format!(
@@ -229,7 +238,8 @@
         socket
     }
 
-    /// A server that answers each request with the length of its body, and the lengths that it has received.
+    /// Starts a server that answers each request with the length of its body. Returns its address and the lengths of
+    /// the bodies that it has received.
     fn body_length_server() -> (SocketAddr, Arc<std::sync::Mutex<Vec<usize>>>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("bound");
@@ -288,47 +298,51 @@
         let mut socket = send_head(&sidecar, "cut", &format!("Content-Length: {LONG}"));
         socket.write_all(&[b'x'; 200 << 10]).expect("written");
         until("the request is in progress", || {
-            figure(&call(sidecar.admin(), "show-stat\n"), "active") == 1
+            statistic(&call(sidecar.admin(), "show-stat\n"), "active") == 1
         });
         drop(socket);
         until("the request is over", || {
-            figure(&call(sidecar.admin(), "show-stat\n"), "active") == 0
+            statistic(&call(sidecar.admin(), "show-stat\n"), "active") == 0
         });
         let answer = sidecar.exchange(&order("next"));
         assert!(answer.ends_with("\r\n\r\n2"), "{answer}");
         assert_eq!(
             *bodies.lock().expect("no panic"),
             [2],
-            "the aborted one was never complete anywhere"
+            "the body of the aborted request was never complete at a server"
         );
     }
 
     #[test]
     fn server_that_closes_within_a_long_body_leads_to_a_harmless_rejection() {
-        // More than the system holds between two sockets (tcp(7): a few megabytes each): all of it would count as
-        // sent otherwise, if the server is slow to end, and then it may have run.
-        const LONGER: usize = 8 * LONG;
+        // In bytes; more than the system buffers between two sockets (a few megabytes each, see tcp(7)). A shorter
+        // body may be sent completely before a slow server closes; then the request counts as one that may have run
+        // and is not rejected.
+        const BEYOND_SOCKET_BUFFERS: usize = 8 * LONG;
         let server = TcpListener::bind("127.0.0.1:0").expect("a port");
         SockRef::from(&server).set_recv_buffer_size(64 << 10).expect("set");
         let sidecar = Sidecar::start(discovery_with(server.local_addr().expect("bound")));
-        let reset = thread::spawn(move || {
+        let closing_server = thread::spawn(move || {
             let (mut socket, _) = server.accept().expect("a connection");
             let mut some = vec![0; 300 << 10];
             socket.read_exact(&mut some).expect("some of the body");
         });
-        let mut socket = send_head(&sidecar, "lost", &format!("Content-Length: {LONGER}"));
-        for _ in 0..LONGER / (64 << 10) {
-            socket.write_all(&[b'x'; 64 << 10]).expect("accepted, though nobody reads it");
+        let mut socket =
+            send_head(&sidecar, "lost", &format!("Content-Length: {BEYOND_SOCKET_BUFFERS}"));
+        for _ in 0..BEYOND_SOCKET_BUFFERS / (64 << 10) {
+            socket
+                .write_all(&[b'x'; 64 << 10])
+                .expect("the sidecar accepts the body, although the server does not read it");
         }
         let answer = first_answer(socket);
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        reset.join().expect("no panic");
+        closing_server.join().expect("no panic");
     }
 
     #[test]
     fn long_response_is_streamed_and_an_aborted_one_does_not_look_complete() {
-        let gate = Arc::new(AtomicBool::new(false));
-        let opened = gate.clone();
+        let release = Arc::new(AtomicBool::new(false));
+        let released = release.clone();
         let server = Server::start(move |id, socket| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
             let half = [b'y'; LONG / 2];
@@ -337,19 +351,24 @@
             if id == "broken" {
                 return false;
             }
-            until("the first half has arrived", || opened.load(Ordering::SeqCst));
+            until("the first half has arrived", || released.load(Ordering::SeqCst));
             socket.write_all(&half).is_ok()
         });
         let sidecar = Sidecar::start(discovery(&[&server]));
         let mut socket = sidecar.connect();
         socket.write_all(order("long").as_bytes()).expect("written");
         let mut first = vec![0; LONG / 4];
-        socket.read_exact(&mut first).expect("a part, while the rest is held back");
-        gate.store(true, Ordering::SeqCst);
+        socket
+            .read_exact(&mut first)
+            .expect("the first part arrives while the server holds back the rest");
+        release.store(true, Ordering::SeqCst);
         let (first, all) = (first.len(), net::read_to_end(socket));
         assert!(first + all.len() > LONG && all.ends_with("yy"));
         let mut socket = sidecar.connect();
         socket.write_all(order("broken").as_bytes()).expect("written");
-        assert!(net::read_to_end(socket).len() < LONG, "what breaks off is shorter than announced");
+        assert!(
+            net::read_to_end(socket).len() < LONG,
+            "an aborted response is shorter than its content length"
+        );
     }
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Files and answers as version 0.2.0 wrote them: the present program reads each, and writes the same bytes.
+//! Compatibility with version 0.2.0: the program reads the files and responses that this version wrote, which are the
+//! fixtures, and writes the same bytes.
 
 mod common;
 #[path = "common/net.rs"]
@@ -25,10 +26,12 @@
 use runtime::TokioRuntime;
 use serde_json::{Value, json};
 
+/// The path of a fixture.
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
+/// The content of a fixture.
 fn text(name: &str) -> String {
     std::fs::read_to_string(fixture(name)).expect("a fixture")
 }
@@ -45,15 +48,15 @@
         Command::Drain,
         Command::Resume,
     ];
-    let read: Vec<_> = text("admin/calls.txt").lines().map(Command::parse).collect();
-    assert_eq!(read, expected.map(Ok));
+    let parsed: Vec<_> = text("admin/calls.txt").lines().map(Command::parse).collect();
+    assert_eq!(parsed, expected.map(Ok));
 }
 
 #[test]
 fn invalid_admin_commands_are_answered_as_before() {
-    let wrong =
+    let invalid =
         ["", "rady", "ready now", "disable-server", "enable-server", "drain s-1", "show-tier all"];
-    let answers: String = wrong
+    let answers: String = invalid
         .into_iter()
         .map(|line| Response::Error(Command::parse(line).expect_err("invalid").into()).to_string())
         .collect();
@@ -135,14 +138,15 @@
 /// Sends one line to the admin listener and returns the response.
 fn call(sidecar: &Sidecar, line: &str) -> String {
     let mut socket = TcpStream::connect(sidecar.admin()).expect("connected");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     socket.write_all(format!("{line}\n").as_bytes()).expect("written");
     let mut all = String::new();
     let _ = socket.read_to_string(&mut all);
     all
 }
 
-fn operated(config: &mut Value) {
+/// Opens an admin listener and raises the socket limit, for its connections.
+fn with_admin(config: &mut Value) {
     config["admin_addr"] = "127.0.0.1:0".into();
     config["limits"]["sockets"] = 128.into();
 }
@@ -150,7 +154,7 @@
 #[test]
 fn sidecar_answers_every_admin_command_as_before() {
     let server = Server::echo();
-    let sidecar = Sidecar::start_with(discovery(&[&server]), operated);
+    let sidecar = Sidecar::start_with(discovery(&[&server]), with_admin);
     for n in 0..7 {
         assert!(sidecar.exchange(&look(&format!("a-{n}"))).starts_with("HTTP/1.1 200"));
     }
@@ -182,16 +186,16 @@
     let sidecar = Sidecar::start(discovery(&[&server]));
     assert!(sidecar.exchange(&look("a")).starts_with("HTTP/1.1 200"));
     let expected: Value = serde_json::from_str(&text("health-version.json")).expect("JSON");
-    let mut told = sidecar.state();
-    assert_eq!(told["pid"], sidecar.pid());
-    assert!(told["clients"].as_u64().is_some_and(|n| n >= 1), "{told}");
-    assert_eq!(told["version"], env!("CARGO_PKG_VERSION"));
+    let mut status_json = sidecar.state();
+    assert_eq!(status_json["pid"], sidecar.pid());
+    assert!(status_json["clients"].as_u64().is_some_and(|n| n >= 1), "{status_json}");
+    assert_eq!(status_json["version"], env!("CARGO_PKG_VERSION"));
     for key in ["pid", "clients", "version"] {
-        told[key] = expected[key].clone();
+        status_json[key] = expected[key].clone();
     }
-    assert_eq!(told, expected);
+    assert_eq!(status_json, expected);
     let status: instance_status::InstanceStatus =
-        serde_json::from_str(&text("health-version.json")).expect("a state");
+        serde_json::from_str(&text("health-version.json")).expect("a status");
     assert_eq!(serde_json::to_string(&status).expect("JSON") + "\n", text("health-version.json"));
 }
 
@@ -205,7 +209,7 @@
 
 #[tokio::test]
 async fn admin_state_is_read_and_written_as_before() {
-    // The stored name stays that of earlier versions.
+    // The file keeps the name that earlier versions used, so that their state is still read.
     let name = "plankvale-08b37c07b558d673.json";
     let before = text("orders/orders.json");
     let folder = Folder::new("orders");
@@ -237,7 +241,7 @@
 
 #[test]
 fn configuration_with_all_keys_is_read_as_before() {
-    let config = Config::parse(text("lb-config.json").as_bytes()).expect("a sound configuration");
+    let config = Config::parse(text("lb-config.json").as_bytes()).expect("a valid configuration");
     assert_eq!((config.generation, config.name.as_str(), config.seed), (12, "n0", 0xa7));
     assert_eq!(config.listen, address("127.0.0.1:8100"));
     assert_eq!(config.discovery, address("127.0.0.1:8101"));
@@ -252,9 +256,9 @@
     assert_eq!(config.gossip_round_interval, Some(Duration::from_millis(250)));
     let quotas = TenantQuotas { schema: 0xf878, per_second: vec![5.5, 70.0] };
     assert_eq!(config.tenant_quotas(), quotas);
-    let known = config.cached_endpoints.as_ref().expect("a list");
-    assert_eq!((known.version, known.is_complete, known.endpoints.len()), (41, true, 3));
-    let entry = |n: usize| config.names.server_entry(&known.endpoints[n]);
+    let cached = config.cached_endpoints.as_ref().expect("a list");
+    assert_eq!((cached.version, cached.is_complete, cached.endpoints.len()), (41, true, 3));
+    let entry = |n: usize| config.names.server_entry(&cached.endpoints[n]);
     let places = |n| (entry(n).zone, entry(n).kind, entry(n).cell);
     assert_eq!([0, 1, 2].map(places), [(0, 1, 3), (1, 0, 0), (u8::MAX, u16::MAX, 0)]);
     assert_eq!([0, 1, 2].map(|n| entry(n).weight), [2.5, 1.0, 1.0]);
@@ -262,9 +266,9 @@
     let ids = [0, 1, 2].map(|n| entry(n).id.0);
     assert_eq!(ids, [0x817c_da19_5c3f_bf24, 0x817c_dd19_5c3f_c43d, 0x817c_dc19_5c3f_c28a]);
     let states =
-        known.endpoints.iter().map(|endpoint| (endpoint.is_listed(), endpoint.is_active()));
+        cached.endpoints.iter().map(|endpoint| (endpoint.is_listed(), endpoint.is_active()));
     assert_eq!(states.collect::<Vec<_>>(), [(true, true), (true, false), (false, false)]);
-    assert_eq!(known.endpoints[0].address, Some(address("127.0.0.1:9001")));
+    assert_eq!(cached.endpoints[0].address, Some(address("127.0.0.1:9001")));
     assert_eq!(
         config.restart_only,
         serde_json::from_str::<Value>(&text("lb-config-fixed.json")).expect("JSON")
@@ -273,9 +277,10 @@
 
 #[test]
 fn configuration_with_required_keys_only_is_read_as_before() {
-    let least = json!({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "a7",
+    let required_keys = json!({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "a7",
         "limits": {"memory_mb": 16, "sockets": 64}, "settings": common::settings_json()});
-    let config = Config::parse(least.to_string().as_bytes()).expect("a sound configuration");
+    let config =
+        Config::parse(required_keys.to_string().as_bytes()).expect("a valid configuration");
     assert_eq!((config.generation, config.admin, config.peer_listen), (0, None, None));
     assert_eq!((config.max_body_bytes, config.gossip_round_interval), (33 << 20, None));
     assert!(
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! The real program at the sizes that it is built for: lists of thousands of servers, tiers of thousands
-//! of members, and what exceeds the limits that follow from its memory limit.
+//! Tests of the real program at the largest supported sizes (endpoint lists of thousands of servers, tiers of thousands
+//! of members) and beyond the limits that follow from its memory limit.
 
 mod common;
 #[path = "common/net.rs"]
@@ -12,11 +12,11 @@
 use net::*;
 use serde_json::Value;
 
-/// A list of `count` servers, of which only one responds.
+/// An endpoint list of `count` servers, of which only `responding` accepts connections.
 fn server_list(count: u16, responding: &Server) -> Vec<Entry> {
     let mut list = vec![Entry::new(responding.at, "a")];
     for n in 1..count {
-        // Draining, and in zone `b`, which gets no requests while `a` has capacity.
+        // The others are draining and in zone `b`, which gets no requests while zone `a` has capacity.
         let at = format!("127.77.{}.{}:9", n >> 8, n & 255).parse().expect("an address");
         list.push(Entry {
             host: format!("server-{n:05}"),
@@ -32,55 +32,52 @@
     config["admin_addr"] = "127.0.0.1:0".into();
 }
 
-/// A figure of the operators' `show-stat`.
-fn admin_figure(sidecar: &Sidecar, name: &str) -> u64 {
+/// A value from the response to the admin command `show-stat`.
+fn statistic(sidecar: &Sidecar, name: &str) -> u64 {
     let mut socket = TcpStream::connect(sidecar.admin()).expect("connected");
     socket.write_all(b"show-stat\n").expect("sent");
     let mut all = String::new();
-    socket.read_to_string(&mut all).expect("figures");
+    socket.read_to_string(&mut all).expect("statistics");
     let line = all.lines().find_map(|l| l.strip_prefix(&format!("sidecar.{name}=")));
     line.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name}: {all}"))
 }
 
-/// Before, it never became ready, and nothing in the log said why.
+/// Guards against a sidecar that never becomes ready with a list of this size and logs no reason.
 #[test]
 fn list_of_4800_servers_is_accepted_and_served() {
     let server = Server::echo();
     let registry = Registry::start(server_list(4800, &server));
     let sidecar = Sidecar::start_with(registry, |config| set_memory(config, 32));
     assert!(sidecar.exchange(&look("a")).ends_with("\r\n\r\na"));
-    assert_eq!(admin_figure(&sidecar, "pool_size"), 4800);
+    assert_eq!(statistic(&sidecar, "pool_size"), 4800);
     assert_eq!(
-        (admin_figure(&sidecar, "lists_too_long"), admin_figure(&sidecar, "pool_most")),
+        (statistic(&sidecar, "lists_too_long"), statistic(&sidecar, "pool_most")),
         (0, 8192)
     );
 }
 
-/// Of more servers than the memory allows the first are used; the log has size and limit, and known
-/// servers are still followed: here that the responding one drains.
+/// Of a list with more servers than the memory limit allows, the first ones are used. The log has the size and the
+/// limit. Changes of known servers are still applied: here, the responding one drains.
 #[test]
 fn list_beyond_the_server_limit_is_truncated_and_logged() {
     let (server, other) = (Server::echo(), Server::echo());
     let registry = Registry::start(server_list(4200, &server));
     let sidecar = Sidecar::start_with(registry.clone(), |config| set_memory(config, 16));
     assert!(sidecar.exchange(&look("a")).ends_with("\r\n\r\na"));
-    assert_eq!(
-        (admin_figure(&sidecar, "pool_size"), admin_figure(&sidecar, "pool_most")),
-        (4096, 4096)
-    );
-    assert!(admin_figure(&sidecar, "lists_too_long") >= 1);
+    assert_eq!((statistic(&sidecar, "pool_size"), statistic(&sidecar, "pool_most")), (4096, 4096));
+    assert!(statistic(&sidecar, "lists_too_long") >= 1);
     let logged = |line: &str| {
         let line: Value = serde_json::from_str(line).unwrap_or_default();
         line["listed"] == 4200 && line["most"] == 4096 && line["passed_over"] == 104
     };
     assert!(sidecar.log().lines().any(logged), "{}", sidecar.log());
-    // A server that is removed makes room for another, and known ones are still followed.
+    // A removed server makes room for another, and changes of known servers are still applied.
     registry.set_health("server-00001", "left");
     registry.update(Entry::new(other.at, "a"));
     sidecar.wait_until_reaches(&other);
     registry.set_health(&Entry::new(server.at, "a").host, "leaving");
     let mut n = 0;
-    until("the draining server gets nothing", || {
+    until("the draining server gets no requests", || {
         let before = server.seen().len();
         (0..20).for_each(|_| {
             n += 1;
@@ -90,7 +87,8 @@
     });
 }
 
-/// What a complete list leaves out makes room for what it adds, and servers that take requests go first.
+/// Servers that a complete list removes make room for those that it adds, and servers that accept requests take
+/// precedence.
 #[test]
 fn active_server_takes_the_place_of_a_removed_one_in_a_complete_list() {
     let (server, other) = (Server::echo(), Server::echo());
@@ -99,10 +97,10 @@
     let removed = Entry { health: "left", ..server_list(2, &server)[1].clone() };
     registry.update_all_in_complete_list(vec![removed, Entry::new(other.at, "a")]);
     sidecar.wait_until_reaches(&other);
-    assert_eq!(admin_figure(&sidecar, "pool_size"), 4096);
+    assert_eq!(statistic(&sidecar, "pool_size"), 4096);
 }
 
-/// Changes alone make the room, and name none of the servers that were passed over.
+/// The room is made by changes of the list, which name none of the servers that were passed over.
 #[test]
 fn server_passed_over_is_taken_up_once_others_are_gone() {
     let (server, passed_over) = (Server::echo(), Server::echo());
@@ -114,8 +112,8 @@
     sidecar.wait_until_reaches(&passed_over);
 }
 
-/// A list whose text is too long is not read at all: the log has its size and the limit, and operators a
-/// figure. It is requested again, and a shorter one is used.
+/// A list whose text is too long is not read at all. The log has its size and the limit, and the statistics count it.
+/// The list is requested again and used once it is shorter.
 #[test]
 fn oversized_list_text_is_reported_and_requested_again() {
     let server = Server::echo();
@@ -130,8 +128,8 @@
         let line: Value = serde_json::from_str(line).unwrap_or_default();
         line["bytes"].as_u64() > line["most_bytes"].as_u64() && line["most_servers"] == 4096
     };
-    until("the log says why", || sidecar.log().lines().any(logged));
-    assert!(admin_figure(&sidecar, "lists_too_long") >= 1);
+    until("the log has the size and the limit", || sidecar.log().lines().any(logged));
+    assert!(statistic(&sidecar, "lists_too_long") >= 1);
     assert!(
         sidecar.exchange(&look("a")).ends_with("\r\n\r\na"),
         "the known servers are still used"
@@ -142,7 +140,7 @@
     sidecar.wait_until_reaches(&new);
 }
 
-/// Checks a configuration with these changes as the program does; whether it is valid, and why not.
+/// Runs `lb-sidecar check` on a configuration with these changes. Returns whether it is valid, and the error output.
 fn check(change: impl FnOnce(&mut Value)) -> (bool, String) {
     let folder = Folder::new("check");
     let mut config = serde_json::json!({
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The real program among faulty clients, faulty servers, reloads, graceful shutdowns and few sockets.
+//! Tests of the real program with faulty clients, faulty servers, reloads, graceful shutdowns and few sockets.
 
 mod common;
 #[path = "common/net.rs"]
@@ -39,7 +39,7 @@
     sidecar.wait_until_reaches(&new);
     let at_old = old.seen().len();
     assert!(sidecar.exchange(&look("d")).ends_with("\r\n\r\nd"));
-    assert_eq!(old.seen().len(), at_old, "the old list's server is gone");
+    assert_eq!(old.seen().len(), at_old, "the server of the old list gets no more requests");
     sidecar.signal("TERM");
     assert!(sidecar.wait_for_exit().success());
 }
@@ -81,12 +81,12 @@
         ("many at once", look("bad") + &look("bad2") + &look("bad3")),
         ("noise behind a request", look("bad") + "noise"),
     ];
-    for (what, text) in &bad {
+    for (case, text) in &bad {
         let answer = sidecar.exchange(text);
-        assert!(is_client_error(&answer), "{what}: {answer:?}");
-        // It still serves, and nothing of the malformed request follows.
-        let id = what.replace([' ', ','], "-");
-        assert!(sidecar.exchange(&look(&id)).ends_with(&id), "after {what}");
+        assert!(is_client_error(&answer), "{case}: {answer:?}");
+        // The sidecar still serves, and no part of the malformed request was taken as another request.
+        let id = case.replace([' ', ','], "-");
+        assert!(sidecar.exchange(&look(&id)).ends_with(&id), "after {case}");
     }
     let seen = server.seen();
     assert!(!seen.contains(&"hidden".to_owned()), "{seen:?}");
@@ -95,23 +95,23 @@
 
 #[test]
 fn correlation_id_in_use_is_rejected() {
-    let (began, begun) = mpsc::channel();
-    let go = Arc::new(AtomicBool::new(false));
-    let (went, began) = (go.clone(), std::sync::Mutex::new(began));
+    let (started_sender, started_receiver) = mpsc::channel();
+    let release = Arc::new(AtomicBool::new(false));
+    let (released, started_sender) = (release.clone(), std::sync::Mutex::new(started_sender));
     let server = Server::start(move |id, socket| {
-        began.lock().expect("no panic").send(()).expect("the test listens");
-        until("the test releases the server", || went.load(Ordering::Relaxed));
+        started_sender.lock().expect("no panic").send(()).expect("the test listens");
+        until("the test releases the server", || released.load(Ordering::Relaxed));
         socket.write_all(answer(id).as_bytes()).is_ok()
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
     let request = order("same");
     let mut first = sidecar.connect();
     first.write_all(request.as_bytes()).expect("sent");
-    begun.recv_timeout(PATIENCE).expect("the first is sent");
+    started_receiver.recv_timeout(PATIENCE).expect("the first request reaches the server");
     assert!(sidecar.exchange(&request).starts_with("HTTP/1.1 409"));
-    go.store(true, Ordering::Relaxed);
+    release.store(true, Ordering::Relaxed);
     assert!(first_answer(first).ends_with("same"));
-    // A copy that was sent while it was in progress may arrive late.
+    // A copy that was sent while the request was in progress may arrive after its response. It is still rejected then.
     assert!(sidecar.exchange(&request).starts_with("HTTP/1.1 409"));
     assert_eq!(server.seen(), ["same"]);
 }
@@ -133,9 +133,9 @@
             }
         }
     });
-    // Each is closed, also the one that keeps sending.
-    let told = read_to_end(slow.try_clone().expect("a second handle"));
-    assert!(told.is_empty() || told.starts_with("HTTP/1.1 408"), "{told}");
+    // Each connection is closed, including the one that keeps sending.
+    let received = read_to_end(slow.try_clone().expect("a second handle"));
+    assert!(received.is_empty() || received.starts_with("HTTP/1.1 408"), "{received}");
     let _ = slow.flush();
     for socket in silent {
         assert_eq!(read_to_end(socket), "");
@@ -163,15 +163,15 @@
     let script = malformed.clone();
     let server = Server::start(move |id, socket| {
         let which: usize = id.parse().expect("the tests' ids are numbers");
-        // The connection stays open.
+        // The server keeps the connection open behind the malformed response.
         socket.write_all(script[which].1.as_bytes()).is_ok()
     });
-    for (n, (what, _)) in malformed.iter().enumerate() {
+    for (n, (case, _)) in malformed.iter().enumerate() {
         let sidecar = Sidecar::start(discovery(&[&server]));
         let answer = sidecar.exchange(&order(&n.to_string()));
-        assert!(answer.starts_with("HTTP/1.1 502"), "{what}: {answer:?}");
+        assert!(answer.starts_with("HTTP/1.1 502"), "{case}: {answer:?}");
         let seen = server.seen();
-        assert_eq!(seen.iter().filter(|id| **id == n.to_string()).count(), 1, "{what}: sent twice");
+        assert_eq!(seen.iter().filter(|id| **id == n.to_string()).count(), 1, "{case}: sent twice");
     }
 }
 
@@ -206,8 +206,8 @@
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
     for round in 0..20 {
-        for what in ["twice", "noise", "interim", "report"] {
-            let id = format!("{what}-{round}");
+        for case in ["twice", "noise", "interim", "report"] {
+            let id = format!("{case}-{round}");
             assert!(sidecar.exchange(&look(&id)).ends_with(&format!("\r\n\r\n{id}")));
         }
     }
@@ -215,25 +215,25 @@
 
 #[test]
 fn graceful_shutdown_completes_admitted_requests() {
-    let (began, begun) = mpsc::channel();
-    let began = std::sync::Mutex::new(began);
-    let go = Arc::new(AtomicBool::new(false));
-    let went = go.clone();
+    let (started_sender, started_receiver) = mpsc::channel();
+    let started_sender = std::sync::Mutex::new(started_sender);
+    let release = Arc::new(AtomicBool::new(false));
+    let released = release.clone();
     let server = Server::start(move |id, socket| {
-        began.lock().expect("no panic").send(()).expect("the test listens");
-        until("the test releases the server", || went.load(Ordering::Relaxed));
+        started_sender.lock().expect("no panic").send(()).expect("the test listens");
+        until("the test releases the server", || released.load(Ordering::Relaxed));
         socket.write_all(answer(id).as_bytes()).is_ok()
     });
     let mut sidecar = Sidecar::start(discovery(&[&server]));
     let mut open = sidecar.connect();
     open.write_all(order("open").as_bytes()).expect("sent");
-    begun.recv_timeout(PATIENCE).expect("it is sent");
+    started_receiver.recv_timeout(PATIENCE).expect("the request reaches the server");
     sidecar.signal("TERM");
-    until("it drains", || {
+    until("the sidecar drains", || {
         sidecar.exchange("GET /health/version HTTP/1.1\r\n\r\n").contains("\"draining\":true")
     });
     sidecar.signal("HUP");
-    go.store(true, Ordering::Relaxed);
+    release.store(true, Ordering::Relaxed);
     let answer = first_answer(open);
     assert!(answer.ends_with("\r\n\r\nopen"), "{answer:?}");
     assert!(answer.to_lowercase().contains("connection: close"), "{answer:?}");
@@ -242,12 +242,13 @@
 
 #[test]
 fn connection_that_was_just_used_is_not_preferred() {
-    // A server may close it right behind the response; what is written before that shows is lost.
+    // A server may close a connection right after its response, and a request that is written before the close is
+    // noticed is lost. So a connection that was just used is not preferred to one that has been idle for longer.
     let waiting = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let server = Server::start(move |id, socket| {
         if id.starts_with("pair") {
             waiting.fetch_add(1, Ordering::Relaxed);
-            until("both are here", || waiting.load(Ordering::Relaxed) == 2);
+            until("both requests have arrived", || waiting.load(Ordering::Relaxed) == 2);
         }
         let port = socket.peer_addr().expect("connected").port();
         socket.write_all(answer(&port.to_string()).as_bytes()).is_ok()
@@ -263,8 +264,8 @@
     let ports = pair.map(|socket| first_answer(socket).split("\r\n\r\n").last().map(str::to_owned));
     assert_ne!(ports[0], ports[1]);
     let mut n = 0;
-    until("the one that has been idle is used", || {
-        // Long enough for both to be idle; then two requests, one after the other.
+    until("the connection that was idle for longer is used", || {
+        // Both connections are idle after this pause; then two requests follow, one after the other.
         thread::sleep(Duration::from_millis(20));
         n += 1;
         let [a, b] = ["a", "b"].map(|x| sidecar.exchange(&order(&format!("{x}{n}"))));
@@ -297,11 +298,11 @@
     socket.write_all(order("endless").as_bytes()).expect("written");
     let endless = read_to_end(socket);
     assert!(endless.len() < 40 << 20, "{} bytes", endless.len());
-    assert!(!endless.ends_with("\r\n0\r\n\r\n"), "it must not look complete");
+    assert!(!endless.ends_with("\r\n0\r\n\r\n"), "a truncated response must not look complete");
 }
 
-/// Found by simulation: the end of a connection waits behind a body that nobody reads, and an order
-/// was sent for a client that had left.
+/// Guards against non-idempotent requests sent for a client that has disconnected: the end of its connection lies
+/// behind a request body that is not being read, for lack of memory.
 #[test]
 fn client_that_leaves_behind_an_unread_body_is_disconnected() {
     let server = Server::echo();
@@ -317,8 +318,8 @@
     };
     let mut witness = sidecar.connect();
     witness.write_all(b"POST ").expect("written");
-    // A third of the memory is for bodies, and streamed ones take 128 KiB each: nothing is left.
-    let holders: Vec<_> = (0..45)
+    // A third of the memory is for bodies, and each streamed body takes 128 KiB of it: nothing is left.
+    let memory_holders: Vec<_> = (0..45)
         .map(|n| {
             let mut socket = sidecar.connect();
             let head = head(&format!("holder{n}"), 1 << 20);
@@ -331,23 +332,24 @@
     leaving.write_all(body.as_bytes()).expect("written");
     leaving.shutdown(Shutdown::Write).expect("ended");
     assert_eq!(read_to_end(leaving), "");
-    // Undetected, it would have been kept until it timed out: later than the one that connected first.
+    // If the disconnect were not detected, the client would be kept until it timed out, which is later than the
+    // timeout of the witness, which connected first. The witness is still open, so neither has timed out.
     witness.set_nonblocking(true).expect("set");
     let read = witness.read(&mut [0]);
     assert!(read.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock), "{read:?}");
-    drop(holders);
-    until("there is memory again", || sidecar.exchange(&order("next")).ends_with("next"));
+    drop(memory_holders);
+    until("memory for bodies is free again", || sidecar.exchange(&order("next")).ends_with("next"));
 }
 
-/// Found when a sidecar did not recognize a single load report: servers named the fields as the settings
-/// do, not as the protocol does.
+/// Servers may name the fields of a load report as the settings do (`q`, `rif`) or as the protocol does (`queue`,
+/// `inflight`). Guards against load reports that are ignored for their field names.
 #[test]
 fn load_reports_accept_both_sets_of_field_names() {
     for (busy, calm) in [
         ("q=20,busy=0.9,rif=20", "q=0,busy=0.1,rif=1"),
         ("queue=20,inflight=20", "queue=0,inflight=1"),
     ] {
-        // By response times alone, the busy one looks better.
+        // By response times alone, the busy server looks better.
         let reporting = |load: &'static str, ms: u64| {
             Server::start(move |id, socket| {
                 thread::sleep(Duration::from_millis(ms));
@@ -362,12 +364,15 @@
         }
         let (at_busy, at_calm) = (busy.seen().len(), calm.seen().len());
         assert_eq!(at_busy + at_calm, 80);
-        assert!(at_busy * 3 < at_calm, "{at_busy} to the busy one, {at_calm} to the calm one");
+        assert!(
+            at_busy * 3 < at_calm,
+            "{at_busy} requests at the busy server, {at_calm} at the calm one"
+        );
     }
 }
 
-/// Found where two servers of a zone without a sidecar were idle, since remote servers were judged
-/// together and the others were as loaded as the local ones.
+/// Guards against judging all remote servers together: an idle one got no requests as long as the other remote
+/// servers were as loaded as the local ones, for example in a zone without a sidecar.
 #[test]
 fn idle_remote_server_is_used_although_the_other_remote_ones_are_busy() {
     let server_taking = |ms: u64| {
@@ -383,20 +388,20 @@
     let sidecar = Sidecar::start_with(discovery_of(&zoned), |config| {
         config["settings"]["prices"]["crossZone"] = 0.06.into();
     });
-    let mut settled = 0;
+    let mut seen_in_first_half = 0;
     for n in 0..240 {
         if n == 120 {
-            settled = idle.seen().len();
+            seen_in_first_half = idle.seen().len();
         }
         let id = format!("r{n}");
         assert!(sidecar.exchange(&look(&id)).ends_with(&id));
     }
-    let later = idle.seen().len() - settled;
-    assert!(later >= 40, "{later} of 120 to the idle one");
+    let later = idle.seen().len() - seen_in_first_half;
+    assert!(later >= 40, "{later} of 120 requests at the idle server");
 }
 
-/// Found when some servers failed a quarter of their requests at once: successes in between kept them
-/// from being ejected, and with few requests in flight they were selected most.
+/// Guards against preferring servers that fail some of their requests at once, for example a quarter: successes in
+/// between keep them from being ejected, and their few requests in flight make them look least loaded.
 #[test]
 fn non_idempotent_requests_avoid_servers_that_fail() {
     let some_fail = || {
@@ -427,17 +432,17 @@
     for n in 200..300 {
         sidecar.exchange(&look(&format!("l{n}")));
     }
-    assert!(at_bad() >= before + 2, "{} of 100", at_bad() - before);
+    assert!(at_bad() >= before + 2, "{} of 100 requests at the failing servers", at_bad() - before);
 }
 
-/// Found with many clients that send one request and keep their connection: the idle connections used
-/// up the limit, and half of the requests found none.
+/// Guards against idle client connections that use up the connection limit: with many clients that send one request
+/// and keep their connection open, half of the requests got no connection.
 #[test]
 fn idle_connections_are_evicted_early_among_many() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    // Of 64 sockets, 20 are for clients. A machine that stalls for a second may try again.
-    let early = (0..5).any(|round| {
+    // Of 64 sockets, 20 are for clients. The test has five rounds, since a hold-up of a second fails a round.
+    let closed_early = (0..5).any(|round| {
         let mut held: Vec<TcpStream> = Vec::new();
         let start = Instant::now();
         for n in 0..14 {
@@ -453,5 +458,5 @@
         let closed = held[0].read(&mut byte).expect("closed in order") == 0;
         closed && start.elapsed() < Duration::from_millis(2300)
     });
-    assert!(early, "idle connections were kept for the whole timeout");
+    assert!(closed_early, "idle connections were kept for the whole timeout");
 }
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -1,4 +1,5 @@
-//! What a supervisor of sidecars relies on: reloads, listeners that outlive processes, status reports.
+//! Tests of what a supervisor of sidecars depends on: reloads, listeners that outlive a process, status reports, and
+//! the check of a configuration.
 
 mod common;
 #[path = "common/net.rs"]
@@ -18,7 +19,7 @@
 };
 use serde_json::Value;
 
-/// Reloads with another configuration, and returns the state after it.
+/// Reloads the configuration and returns the status after the reload, whether it was applied or declined.
 fn reload(sidecar: &Sidecar, config: &Value) -> Value {
     sidecar.replace_config(&config.to_string());
     sidecar.signal("HUP");
@@ -44,10 +45,10 @@
         serde_json::json!([{"name": "club", "quotaPerS": 5.0, "share": 1.0}]);
     let state = reload(&sidecar, &config);
     assert_eq!((&state["generation"], &state["declined"]), (&2.into(), &Value::Null));
-    // Tenants are in force: a request that names none is rejected now.
+    // The tenants are in force: a request that names none is rejected.
     assert!(sidecar.exchange(&look("a")).starts_with("HTTP/1.1 400"));
-    let named = |id| look(id).replace("\r\nX-Time", "\r\nX-Account: club\r\nX-Time");
-    assert!(sidecar.exchange(&named("b")).ends_with("\r\n\r\nb"));
+    let with_tenant = |id| look(id).replace("\r\nX-Time", "\r\nX-Account: club\r\nX-Time");
+    assert!(sidecar.exchange(&with_tenant("b")).ends_with("\r\n\r\nb"));
 
     let mut other_zones = config.clone();
     other_zones["generation"] = 3.into();
@@ -56,14 +57,14 @@
     assert_eq!(state["generation"], 2);
     let reason = state["declined"]["why"].as_str().expect("a reason");
     assert!(reason.starts_with("settings.zones:"), "{reason}");
-    assert!(sidecar.exchange(&named("c")).ends_with("\r\n\r\nc"));
+    assert!(sidecar.exchange(&with_tenant("c")).ends_with("\r\n\r\nc"));
 }
 
 #[test]
 fn reload_changes_how_many_clients_fit() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    let connected = || {
+    let peak_client_count = || {
         let all: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
         let mut most = 0;
         for _ in 0..50 {
@@ -74,27 +75,28 @@
         most
     };
     // Of 64 descriptors, 20 are for clients.
-    assert!(connected() <= 20);
+    assert!(peak_client_count() <= 20);
     let mut config: Value = sidecar.config().clone();
     config["generation"] = 1.into();
     config["limits"]["sockets"] = 256.into();
     reload(&sidecar, &config);
-    until("more clients fit", || connected() > 40);
+    until("more clients fit", || peak_client_count() > 40);
     config["generation"] = 2.into();
     config["limits"]["sockets"] = 64.into();
     reload(&sidecar, &config);
-    until("fewer clients fit again", || connected() <= 20);
+    until("fewer clients fit again", || peak_client_count() <= 20);
 }
 
 #[test]
 fn successor_takes_over_listener_without_refused_lost_or_duplicated_requests() {
-    let (started, started_receiver) = mpsc::channel();
-    let (go, started) = (Arc::new(AtomicBool::new(false)), std::sync::Mutex::new(started));
-    let released = go.clone();
+    let (started_sender, started_receiver) = mpsc::channel();
+    let (release, started_sender) =
+        (Arc::new(AtomicBool::new(false)), std::sync::Mutex::new(started_sender));
+    let released = release.clone();
     let server = Server::start(move |id, socket| {
         if id == "slow" {
-            started.lock().expect("no panic").send(()).expect("the test listens");
-            until("the test says go", || released.load(Ordering::Relaxed));
+            started_sender.lock().expect("no panic").send(()).expect("the test listens");
+            until("the test releases the server", || released.load(Ordering::Relaxed));
         }
         socket.write_all(answer(id).as_bytes()).is_ok()
     });
@@ -108,7 +110,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let served = Arc::new(AtomicUsize::new(0));
     let at = new.at;
-    let asking = thread::spawn({
+    let load = thread::spawn({
         let (stop, served) = (stop.clone(), served.clone());
         move || {
             let mut n = 0;
@@ -123,29 +125,29 @@
             }
         }
     });
-    let more = |n: usize| {
+    let wait_for_served = |n: usize| {
         let before = served.load(Ordering::Relaxed);
         until("requests are served", || served.load(Ordering::Relaxed) >= before + n);
     };
-    more(20);
+    wait_for_served(20);
     old.signal("USR2");
     until("only the successor answers", || {
         let pid = new.state()["pid"].as_u64();
         pid == Some(u64::from(new.pid()))
     });
-    more(50);
-    go.store(true, Ordering::Relaxed);
+    wait_for_served(50);
+    release.store(true, Ordering::Relaxed);
     let answer = first_answer(slow);
     assert!(answer.ends_with("\r\n\r\nslow"), "{answer:?}");
     assert!(old.wait_for_exit().success());
-    more(20);
+    wait_for_served(20);
     stop.store(true, Ordering::Relaxed);
-    asking.join().expect("every request was answered");
+    load.join().expect("every request was answered");
     let mut seen = server.seen();
     let all = seen.len();
     seen.sort_unstable();
     seen.dedup();
-    assert_eq!(seen.len(), all, "something was sent twice");
+    assert_eq!(seen.len(), all, "a request was sent twice");
 }
 
 #[test]
@@ -153,29 +155,29 @@
     let folder = Folder::new("supervisor");
     let path = folder.path().join("notify");
     let supervisor = UnixDatagram::bind(&path).expect("a socket");
-    supervisor.set_read_timeout(Some(PATIENCE)).expect("a time");
+    supervisor.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     let server = Server::echo();
     let mut sidecar = Sidecar::start_with_env(
         discovery(&[&server]),
         &[("NOTIFY_SOCKET", path.to_str().expect("a plain path"))],
     );
-    let next = || {
+    let next_report = || {
         let mut buf = [0; 4096];
-        let n = supervisor.recv(&mut buf).expect("a report");
+        let n = supervisor.recv(&mut buf).expect("a status report");
         String::from_utf8(buf[..n].to_vec()).expect("text")
     };
     let pid = format!("MAINPID={}\n", sidecar.pid());
-    until("it reports ready", || {
-        let report = next();
+    until("the sidecar reports that it is ready", || {
+        let report = next_report();
         assert!(report.contains(&pid) && report.contains("WATCHDOG=1\n"), "{report}");
         report.contains("READY=1\n")
     });
     for n in 0..3 {
         assert!(sidecar.exchange(&look(&format!("c{n}"))).contains("200 OK"));
     }
-    until("it reports what it served", || next().contains(r#""counts":{"served":3,"#));
+    until("served requests are reported", || next_report().contains(r#""counts":{"served":3,"#));
     sidecar.signal("TERM");
-    until("it reports its end", || next().contains("STOPPING=1\n"));
+    until("the sidecar reports that it is stopping", || next_report().contains("STOPPING=1\n"));
     assert!(sidecar.wait_for_exit().success());
 }
 
@@ -187,7 +189,7 @@
         std::fs::write(&path, text).expect("written");
         let program = env!("CARGO_BIN_EXE_lb-sidecar");
         let mut command = Command::new(program);
-        let out = command.arg("check").arg(&path).output().expect("it starts");
+        let out = command.arg("check").arg(&path).output().expect("the program starts");
         (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
     };
     let valid = serde_json::json!({
@@ -209,7 +211,7 @@
     };
     rejects(large, "settings.instances: 8192 at most");
     let out = Command::new(env!("CARGO_BIN_EXE_lb-sidecar")).arg("--version").output();
-    let text = String::from_utf8(out.expect("it starts").stdout).expect("text");
+    let text = String::from_utf8(out.expect("the program starts").stdout).expect("text");
     assert_eq!(text, format!("lb-sidecar {}\n", env!("CARGO_PKG_VERSION")));
 }
 
@@ -222,7 +224,8 @@
         "name": "n0", "listen": "127.0.0.2:0", "discovery": "127.0.0.1:1", "seed": "a7",
         "limits": {"memory_mb": 32, "sockets": 64}, "settings": common::settings_json()});
     std::fs::write(&path, config.to_string()).expect("written");
-    let out = program(Some(&listener)).env("LB_CONFIG", &path).output().expect("it starts");
+    let out =
+        program(Some(&listener)).env("LB_CONFIG", &path).output().expect("the program starts");
     assert_eq!(out.status.code(), Some(2));
     let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(error.contains("LISTEN_FDS"), "{error}");
@@ -233,21 +236,21 @@
     let folder = Folder::new("short");
     let path = folder.path().join("notify");
     let supervisor = UnixDatagram::bind(&path).expect("a socket");
-    supervisor.set_read_timeout(Some(PATIENCE)).expect("a time");
+    supervisor.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     let server = Server::echo();
-    // It is configured for 256, and the system grants 40.
+    // The configuration allows 256 descriptors, the system only 40.
     let sidecar = Sidecar::start_limited(discovery(&[&server]), 40, &path);
     let wait_for_report = |what: &str| {
         until(what, || {
             let mut buf = [0; 4096];
-            let n = supervisor.recv(&mut buf).expect("a report");
+            let n = supervisor.recv(&mut buf).expect("a status report");
             String::from_utf8_lossy(&buf[..n]).contains(what)
         });
     };
     wait_for_report("\"short\":false");
-    let crowd: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
+    let connections: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
     wait_for_report("\"short\":true");
-    drop(crowd);
+    drop(connections);
     wait_for_report("\"short\":false");
     assert!(sidecar.exchange(&look("after")).ends_with("after"));
 }
