--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! lb-sidecar: a client-side load balancer that every client process runs as its own sidecar.
 //!
-//! The decisions are a sans-I/O state machine, [`balancer::Balancer`]: events in, actions out.
+//! The decisions are made by [`balancer::Balancer`], a sans-I/O state machine that takes events and returns actions.
 #![forbid(unsafe_code)]
 
 pub mod api;
