--- a/tests/size.rs
+++ b/tests/size.rs
@@ -100,7 +100,7 @@
     assert_eq!(statistic(&sidecar, "pool_size"), 4096);
 }
 
-/// The room is made by changes of the list, which name none of the servers that were passed over.
+/// List changes that remove servers make room for a server that was passed over, although they do not name it.
 #[test]
 fn server_passed_over_is_taken_up_once_others_are_gone() {
     let (server, passed_over) = (Server::echo(), Server::echo());
