--- a/src/api.rs
+++ b/src/api.rs
@@ -273,7 +273,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// The time after which the client should retry; 0 means that the answer does not tell.
+        /// The time after which the client should retry; 0 means that the answer carries no Retry-After.
         retry_after: Micros,
         /// The reason.
         reason: EndReason,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -16,7 +16,7 @@
 const LATENESS_DECAY_OBJECTIVES: f64 = 4.0;
 /// Lateness above which the class of the highest priority is shed.
 const SHED_START: f64 = 0.3;
-/// Reduction of that lateness for a class, per factor of e by which its priority is below the highest.
+/// Reduction of [`SHED_START`] for a class, per factor of e by which its priority is below the highest.
 const SHED_START_PER_LOG_PRIORITY: f64 = 0.15;
 /// Lateness up to which no class is shed.
 const MIN_SHED_START: f64 = 0.06;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the share of a class to shed.
+    /// Returns the share of the requests of a class to shed.
     ///
     /// In overload, requests of low priority would delay those of high priority. So the lower the priority of a class,
     /// relative to the highest, the earlier it is shed. Between classes of equal priority an early rejection would not
--- a/src/balancer/chips.rs
+++ b/src/balancer/chips.rs
@@ -20,7 +20,7 @@
     window_start: Micros,
     sum: f64,
     count: f64,
-    /// Average of the last complete window; `None` before its end.
+    /// Average of the last complete window; `None` before the end of the first.
     last: Option<f64>,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl Balancer {
-    /// Returns whether a server holds a chip, or has not responded for so long that it is tried without one.
+    /// Returns whether a server holds a chip, or is tried without one: it has not responded within the reset interval,
+    /// or never.
     pub(super) fn has_confidence(&self, server: &Server) -> bool {
         let is_old = |at: Micros| self.now - at > self.reset_interval;
         server.chips > 0 || server.last_response.is_none_or(is_old)
--- a/src/balancer/ejection.rs
+++ b/src/balancer/ejection.rs
@@ -23,10 +23,10 @@
         self.now < server.ejected_until || on_trial
     }
 
-    /// Returns whether the panic threshold is reached: with half of the ready servers ejected, ejection is ignored.
-    /// Otherwise network failures would eject server after server and overload the last ones. Known weakness: if half
-    /// of the servers are really dead, attempts go to them. Those that reach no server are retried at no cost to the
-    /// retry budget.
+    /// Returns whether the panic threshold is reached: with half or more of the ready servers ejected, ejection is
+    /// ignored. Otherwise network failures would eject server after server and overload the last ones. Known weakness:
+    /// if half of the servers are really dead, attempts go to them. Those that reach no server are retried at no cost
+    /// to the retry budget.
     pub(super) fn in_panic(&self) -> bool {
         let ready = &self.ready.slots;
         let ejected =
@@ -58,7 +58,8 @@
         (per_point * excess).clamp(0.0, 1.0 - MIN_ADMITTED_SHARE)
     }
 
-    /// Updates the fault rate of a server by the outcome of an attempt.
+    /// Updates the fault rate of a server by the outcome of an attempt. For the spillover, a fault counts as a response
+    /// of the maximum relative latency.
     pub(super) fn record_fault_rate(&mut self, slot: Slot, outcome: Outcome) {
         let server = &mut self.servers[slot];
         match outcome {
@@ -72,9 +73,10 @@
         }
     }
 
-    /// Counts a consecutive failure, and ejects the server if there are enough. `base_ejection_time` determines the
-    /// ejection time, in microseconds; each failed trial doubles it. A failed connection attempt counts twice, and a
-    /// time-out without any response in the meantime ejects the server at once.
+    /// Counts a consecutive failure, and ejects the server if there are enough. The ejection lasts a quarter of
+    /// `base_ejection_time`, in microseconds, and twice as long for each failure beyond [`CONSECUTIVE_FAILURES`], such
+    /// as a failed trial. A failed connection attempt counts twice, and a time-out without any response in the meantime
+    /// ejects the server at once.
     pub(super) fn on_failure(
         &mut self,
         slot: Slot,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,9 +1,9 @@
 //! The load-balancing decisions, as a state machine without I/O that maps events to actions.
 //!
 //! Load reports on responses mint confidence chips, and each attempt spends one. Of two randomly drawn servers that
-//! hold chips, the less used one gets the request. The checks in `retry` enforce rules 1 to 3 of the protocol: one
-//! final answer in time (rule 1), no duplicate effects (rule 2), and no attempts to servers that drain or are removed
-//! (rule 3).
+//! hold chips, the less used one gets the request. The balancer enforces rules 1 to 3 of the protocol: one final answer
+//! in time (rule 1, by the deadline timer that `admission` sets), no duplicate effects (rule 2), and no attempts to
+//! servers that drain or are removed (rule 3). The checks of rules 2 and 3 are in `retry`.
 
 mod admission;
 mod chips;
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,10 +1,11 @@
-//! Attempts, retries and final answers. All of them pass the checks in this module: rule 2 (no duplicate effects) and
-//! the retry budget.
+//! Attempts, retries and final answers. Every attempt passes the checks in this module: rule 2 (no duplicate effects)
+//! and rule 3 (no attempts to servers that drain or are removed). A retry after an attempt that may have run also needs
+//! retry budget.
 
 use super::*;
 
-/// Maximum number of attempts of a request in total for a retry of one that never ran, such as a rejected one. The
-/// settings may allow fewer.
+/// Number of attempts of a request from which an attempt that never ran, such as a rejected one, is no longer retried.
+/// Retries before need no retry budget. The settings may allow fewer attempts.
 pub(super) const MAX_REJECTED_ATTEMPTS: usize = 4;
 /// Mean Retry-After of a rejection, as a multiple of the longest latency objective. It is jittered by half, so that
 /// rejected clients do not retry at the same time.
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -112,7 +112,7 @@
             return false;
         }
         if self.is_passed_over(request, slot) {
-            // Used as a last resort if nearly all draws are passed over.
+            // Used only if no draw finds a server that is not passed over.
             drawn.passed_over.get_or_insert(slot);
             return false;
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -213,7 +213,7 @@
     }
 }
 
-/// The points deducted from the service's score, per unit of the rate or share of each.
+/// The points deducted from the service's score. Each price is multiplied by the rate or share of what it applies to.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Prices {
@@ -264,13 +264,13 @@
     /// The multiple of its current capacity at which a server in slow start fails from overload; above 0.
     #[serde(rename = "fallMultiple")]
     pub overload_factor: f64,
-    /// The longest time without a poll for which an instance does not yet count as notified of a change.
+    /// The time since its last poll after which an instance counts as notified of a change that it has not fetched.
     #[serde(default, rename = "mustAskIn")]
     pub max_poll_interval: Micros,
     /// The time within which an instance must stop sending to a server that drains or is removed.
     #[serde(rename = "stopSendingWithin")]
     pub drain_deadline: Micros,
-    /// The duration of such an overload after which the server fails.
+    /// The duration of an overload by [`Rules::overload_factor`] after which a server in slow start fails.
     #[serde(rename = "tipAfter")]
     pub overload_duration: Micros,
 }
--- a/src/sidecar/body.rs
+++ b/src/sidecar/body.rs
@@ -16,10 +16,10 @@
 pub const STREAM_RESERVATION_BYTES: usize = 2 * STREAM_WINDOW_BYTES;
 /// The maximum wait for the next bytes of a body that has begun.
 pub const MAX_BODY_GAP: Duration = Duration::from_millis(2500);
-/// The minimum average transfer rate of clients, not counting one such wait.
+/// The minimum average transfer rate of clients, not counting one wait of [`MAX_BODY_GAP`].
 const MIN_CLIENT_BYTES_PER_SECOND: u64 = 60_000;
-/// The minimum average transfer rate of servers, not counting one such wait. It is lower than for clients, as slow
-/// servers occur, and a client decides itself how long it waits.
+/// The minimum average transfer rate of servers, not counting one wait of [`MAX_BODY_GAP`]. It is lower than for
+/// clients, as slow servers occur, and a client decides itself how long it waits.
 const MIN_SERVER_BYTES_PER_SECOND: u64 = 8_000;
 
 /// Returns the time that the transfer of `bytes` from or to a client may take.
--- a/src/sidecar/driver/endpoints.rs
+++ b/src/sidecar/driver/endpoints.rs
@@ -253,7 +253,7 @@
         self.state.borrow().endpoints.servers.contains_key(&server)
     }
 
-    /// Returns the number of listed servers, and of those among them that get no requests.
+    /// Returns the number of listed servers, and of those among them that are drained by operators or ejected.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.state.borrow();
         let servers = &state.endpoints.servers;
--- a/src/sidecar/framing.rs
+++ b/src/sidecar/framing.rs
@@ -2,8 +2,8 @@
 //!
 //! hyper parses the messages. This module follows the same bytes and detects what hyper silently
 //! repairs or ignores. It protects against ambiguous message boundaries: request smuggling by means
-//! of two lengths, pipelined requests, heads and bodies without end, and noise or a second response
-//! after a response. Seeing an end where hyper sees none would do harm, so the rules are stricter
+//! of two lengths, pipelined requests, heads and bodies without end, and stray bytes or a second
+//! response after a response. Seeing an end where hyper sees none would do harm, so the rules are stricter
 //! than those of hyper: what is accepted here, hyper reads the same way.
 
 use hyper::StatusCode;
@@ -128,7 +128,7 @@
     is_first_line: bool,
     status: u16,
     content_length: Option<u64>,
-    is_chunked: bool,
+    has_transfer_encoding: bool,
     /// Whether the only transfer encoding is a single `chunked`.
     is_only_chunked: bool,
     unprocessed: Unprocessed,
@@ -149,7 +149,7 @@
             is_first_line: true,
             status: 0,
             content_length: None,
-            is_chunked: false,
+            has_transfer_encoding: false,
             is_only_chunked: false,
             unprocessed: Unprocessed::Unsaid,
             chunk_bytes: 0,
@@ -168,7 +168,7 @@
         self.line.clear();
         self.is_first_line = true;
         self.content_length = None;
-        self.is_chunked = false;
+        self.has_transfer_encoding = false;
         self.is_only_chunked = false;
         self.unprocessed = Unprocessed::Unsaid;
         self.chunk_bytes = 0;
@@ -197,7 +197,7 @@
 
     /// Returns whether the head has a content length or a transfer encoding.
     pub fn has_explicit_end(&self) -> bool {
-        self.content_length.is_some() || self.is_chunked
+        self.content_length.is_some() || self.has_transfer_encoding
     }
 
     /// Processes received bytes.
@@ -328,7 +328,7 @@
     fn read_header(&mut self) -> Result<(), FramingError> {
         let is_continuation = matches!(self.line.first(), Some(b' ' | b'\t'));
         if is_continuation && self.unprocessed == Unprocessed::Promised {
-            // The line may continue the header that said so.
+            // The line may continue the value of the header [`UNPROCESSED_HEADER`].
             self.unprocessed = Unprocessed::Contradictory;
         }
         let Some(colon) = self.line.iter().position(|&b| b == b':') else { return Ok(()) };
@@ -342,8 +342,8 @@
         }
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             let chunked = value.eq_ignore_ascii_case(b"chunked");
-            self.is_only_chunked = chunked && !self.is_chunked;
-            self.is_chunked = true;
+            self.is_only_chunked = chunked && !self.has_transfer_encoding;
+            self.has_transfer_encoding = true;
         }
         if name.eq_ignore_ascii_case(UNPROCESSED_HEADER.as_bytes()) {
             let is_kept_whole = self.line.len() < MAX_KEPT_LINE_BYTES;
@@ -365,15 +365,15 @@
         }
         let has_no_body = self.kind == MessageKind::Request || matches!(self.status, 204 | 304);
         self.state = match self.content_length {
-            Some(_) if self.is_chunked => return Err(FramingError::ConflictingLengths),
+            Some(_) if self.has_transfer_encoding => return Err(FramingError::ConflictingLengths),
             Some(length) if length > self.max_body as u64 => return Err(FramingError::BodyTooLong),
             Some(0) => State::Complete,
             Some(length) => State::Body(length),
-            None if self.is_chunked && self.is_only_chunked => {
+            None if self.has_transfer_encoding && self.is_only_chunked => {
                 self.head_bytes = 0;
                 State::Chunked(ChunkState::Size { size: 0, digits: 0 })
             }
-            None if self.is_chunked || !has_no_body => State::EndUnknown,
+            None if self.has_transfer_encoding || !has_no_body => State::EndUnknown,
             None => State::Complete,
         };
         Ok(())
--- a/src/sidecar/invariants.rs
+++ b/src/sidecar/invariants.rs
@@ -3,7 +3,8 @@
 //!
 //! The code next to the sockets calls these checks with facts that it gathers itself, independently of the balancer,
 //! which has made the same decision before. An error on either side shows as a disagreement: it is counted as a
-//! [`Violation`], and the action is not taken.
+//! [`Violation`], and the action is not taken. An attempt that may no longer be sent because the situation has changed
+//! since the balancer's decision is not an error: it is counted as a [`SendRefusal`].
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Instant;
--- a/src/sidecar/upload.rs
+++ b/src/sidecar/upload.rs
@@ -22,7 +22,7 @@
     Replayable,
     /// Some bytes have been sent and are no longer kept.
     Streaming,
-    /// The last byte was received at this time.
+    /// The last byte was read for sending at this time.
     Complete(Instant),
     Failed,
 }
@@ -102,7 +102,7 @@
         self.wait_for(|progress| progress != Progress::Replayable).await;
     }
 
-    /// Completes when the last byte has been received.
+    /// Completes when the last byte has been read for sending.
     pub async fn completed(&self) {
         self.wait_for(|progress| matches!(progress, Progress::Complete(_))).await;
     }
--- a/src/sidecar/upstream/connection.rs
+++ b/src/sidecar/upstream/connection.rs
@@ -146,7 +146,7 @@
         self.earlier_requests < MAX_REQUESTS
     }
 
-    /// Returns whether the connection has been idle for long enough to be reused.
+    /// Returns whether the connection has been idle for long enough to be reused, or has not carried a request yet.
     pub(super) fn is_past_quiet_period(&self) -> bool {
         !self.is_used() || P::elapsed_since(self.idle_since) >= QUIET_PERIOD
     }
--- a/src/sidecar/upstream/desync.rs
+++ b/src/sidecar/upstream/desync.rs
@@ -18,8 +18,8 @@
 
 /// The minimum idle time of a connection before it is reused. Bytes that arrive during it belong to no request.
 pub(super) const QUIET_PERIOD: Duration = Duration::from_millis(30);
-/// The duration of a server's first quarantine. One that begins soon after the last, within the last one's duration,
-/// lasts twice as long as that.
+/// The duration of a server's first quarantine. If another one begins within the duration of the last after its end, it
+/// lasts twice as long.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(10);
 /// The maximum duration of a quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(600);
@@ -111,7 +111,7 @@
         self.quarantine.get().is_none_or(|quarantine| quarantine.until <= now)
     }
 
-    /// Records that bytes arrived that belong to no response, and quarantines the server.
+    /// Records that bytes arrived that belong to no response, and quarantines the server or extends its quarantine.
     ///
     /// Returns the duration of the quarantine if none was in force.
     pub(super) fn record_unexpected_bytes(&self, now: Instant) -> Option<Duration> {
--- a/src/sidecar/upstream/pool.rs
+++ b/src/sidecar/upstream/pool.rs
@@ -60,7 +60,8 @@
         self.put_back(server, connection);
     }
 
-    /// Returns a connection to the pool on which nothing was sent since it was opened or taken.
+    /// Adds a connection to the pool without checks: one that [`Upstream::return_to_pool`] has checked, or one on which
+    /// nothing was sent since it was opened or taken.
     pub(super) fn put_back(&self, server: ServerId, connection: Connection<P>) {
         self.idle.borrow_mut().entry(server).or_default().push(connection);
     }
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Returns the response history of a server.
+    /// Returns the response history of a server. There are at most as many histories as servers may be listed. If a
+    /// further one is needed, those without connections and quarantine are dropped, or else all.
     fn response_history(&self, server: ServerId) -> Rc<ResponseHistory> {
         let mut histories = self.histories.borrow_mut();
         let max = self.live.max_servers();
