--- a/tests/balancer/chips.rs
+++ b/tests/balancer/chips.rs
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn report_past_capacity_wipes_chips_until_reset_interval() {
+fn report_above_capacity_removes_chips_until_reset_interval() {
     let mut b = with_capacity(1);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
     while round_with_queue(&mut b, busy) != ServerId(0) {}
     // The reset interval is the longest deadline: 1.5 s in these settings.
-    let wiped = b.now;
+    let removed_at = b.now;
     let mut to_busy = 0;
-    while b.now < wiped + 1400 * MS {
+    while b.now < removed_at + 1400 * MS {
         to_busy += u32::from(round_with_queue(&mut b, busy) == ServerId(0));
     }
     assert_eq!(to_busy, 0, "a server without chips got attempts while another held chips");
-    b.now = wiped + 1600 * MS;
+    b.now = removed_at + 1600 * MS;
     let mut tries = 0;
     while round_with_queue(&mut b, busy) != ServerId(0) {
         tries += 1;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn no_report_is_past_capacity_before_the_first_estimate() {
+fn no_report_is_above_capacity_before_the_first_estimate() {
     let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
     let to_busy = (0..100).filter(|_| round_with_queue(&mut b, busy) == ServerId(0)).count();
--- a/tests/balancer/ejection.rs
+++ b/tests/balancer/ejection.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn failures_at_once_delay_the_next_trial_no_more_than_one() {
+fn simultaneous_failures_delay_the_next_trial_no_more_than_one() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
     let mut b = Bench::new(settings(|_| {}), 1, &servers);
     let crashed = ServerId(0);
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -201,7 +201,7 @@
 
 /// Lists are not trusted: a start time in the far future must not cause a panic, nor make other servers count as warm.
 #[test]
-fn absurd_start_times_do_no_harm() {
+fn start_times_in_the_far_future_do_no_harm() {
     let mut sends = 0;
     for seed in 0..100 {
         let absurd = ServerEntry { started_at: u64::MAX, ..server(0) };
--- a/tests/lifecycle/connecting.rs
+++ b/tests/lifecycle/connecting.rs
@@ -176,7 +176,7 @@
 type RequestText = fn(&str) -> String;
 
 /// The ways in which a client disconnects: it closes the connection or only its sending side (`half`), with or without
-/// sending another request or noise before.
+/// sending another request or stray bytes (`noise`) before.
 const DISCONNECTS: [&str; 5] = ["close", "half", "next request", "noise", "noise and half"];
 
 /// Disconnects a client. Returns its socket if it only closes its sending side.
--- a/tests/lifecycle/rejections.rs
+++ b/tests/lifecycle/rejections.rs
@@ -116,10 +116,10 @@
         text: format!("HTTP/1.1 {head}{end}"),
         then: AfterResponse::Wait,
     });
-    let behind = |text: &str| ServerResponse::rejected(text, AfterResponse::Wait);
+    let with_rest = |rest: &str| ServerResponse::rejected(rest, AfterResponse::Wait);
     let mut responses: Vec<ServerResponse> = whole.into();
-    responses.push(behind("Content-Length: 0\r\n\r\nnoise"));
-    responses.push(behind("Transfer-Encoding: chunked\r\n\r\n0\r\nX-Unprocessed: 0\r\n\r\n"));
+    responses.push(with_rest("Content-Length: 0\r\n\r\nnoise"));
+    responses.push(with_rest("Transfer-Encoding: chunked\r\n\r\n0\r\nX-Unprocessed: 0\r\n\r\n"));
     responses
 }
 
@@ -218,14 +218,14 @@
 }
 
 #[test]
-fn order_whose_rejection_is_cut_or_silent_is_neither_sent_again_nor_rejected() {
+fn order_whose_rejection_is_truncated_is_neither_sent_again_nor_rejected() {
     let found =
         check_each(truncated_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
-fn order_whose_rejection_is_cut_on_a_used_connection_is_neither_sent_again_nor_rejected() {
+fn order_whose_rejection_is_truncated_on_a_used_connection_is_neither_sent_again_nor_rejected() {
     let found = check_each(truncated_rejections(), |rejecting| {
         unsafe_repeat(&rejecting, empty_order, true)
     });
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn upload_whose_rejection_is_cut_is_neither_sent_again_nor_rejected() {
+fn upload_whose_rejection_is_truncated_is_neither_sent_again_nor_rejected() {
     let found = check_each(truncated_rejections(), |rejecting| {
         unsafe_repeat(&rejecting, long_order, false)
     });
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn order_that_is_rejected_in_a_whole_answer_is_served_elsewhere() {
+fn order_that_is_rejected_in_a_complete_answer_is_served_elsewhere() {
     for reuse in [false, true] {
         let found = check_each(complete_rejections(), |rejecting| {
             let (answer, copies) = rejecting.exchange(&order(ID), ID, reuse);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn safe_request_whose_rejection_is_cut_is_served_elsewhere() {
+fn safe_request_whose_rejection_is_truncated_is_served_elsewhere() {
     let found = check_each(truncated_rejections(), |rejecting| {
         let (answer, copies) = rejecting.exchange(&look(ID), ID, false);
         (!answer.ends_with(ID)).then(|| format!("{answer:?}, copies at {copies:?}"))
@@ -283,7 +283,7 @@
 
 /// The server sends its rejection so slowly that the client's timeout ends first. The client gets its response in time.
 #[test]
-fn rest_of_a_rejection_is_not_waited_for_beyond_the_time_of_its_request() {
+fn rest_of_a_rejection_is_not_awaited_beyond_the_deadline_of_its_request() {
     let server = Server::start(|_, socket| {
         let head = format!("{REJECTED}Content-Length: 1000\r\n\r\n");
         let trickle = |socket: &mut TcpStream| {
@@ -391,7 +391,7 @@
 /// The server's rejection is truncated, so it proves nothing. The request may be rejected only if its last byte was not
 /// sent.
 #[test]
-fn upload_is_not_rejected_once_its_last_byte_has_gone_out() {
+fn upload_is_not_rejected_once_its_last_byte_is_sent() {
     const LENGTH: usize = 100 << 10;
     let (server, received) =
         early_responding_server(format!("{REJECTED}Content-Length: 20\r\n\r\nab"));
--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -253,11 +253,11 @@
             }
         }
         let refused = is_rejected(answer);
-        let zones = |server: &usize| server % 2;
+        let zone_of = |server: &usize| server % 2;
         let is_broken = match class {
             Class::Look => false,
             Class::Order => executions.len() > 1 || refused && !executions.is_empty(),
-            Class::Keep => executions.iter().any(|s| zones(s) != zones(&executions[0])),
+            Class::Keep => executions.iter().any(|s| zone_of(s) != zone_of(&executions[0])),
         };
         if is_broken {
             let status = answer.lines().next().unwrap_or_default();
@@ -372,8 +372,8 @@
     assert_no_rule_violated(&DUPLICATE_FORMS.map(next));
 }
 
-/// A duplicate with a new body: its content does not give it away, and neither does its timing if it arrives well after
-/// the start of the next request.
+/// A duplicate with a new body cannot be recognized by its body, nor by its timing if it arrives well after the start
+/// of the next request.
 #[test]
 fn second_answer_with_another_body_answers_no_other_request() {
     let mut faults = [12, 25, 40, 60, 250].map(|ms| delayed(Duplicate::OtherBody, ms, 2)).to_vec();
@@ -524,9 +524,9 @@
     assert!(answer.ends_with("order"), "{answer:?}");
 }
 
-/// Starts a server that sends `first` as the response to the request `first`, and again during request number `behind`
-/// on the same connection.
-fn server_repeating_first_answer(first: String, behind: usize) -> SocketAddr {
+/// Starts a server that sends `first` as the response to the request `first`, and again during request number
+/// `repeat_at` on the same connection.
+fn server_repeating_first_answer(first: String, repeat_at: usize) -> SocketAddr {
     const WORK: Duration = Duration::from_millis(5);
     const COPY_DELAY: Duration = Duration::from_millis(20);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -547,7 +547,7 @@
             return socket.write_all(NOT_FOUND.as_bytes()).is_ok();
         }
         thread::sleep(WORK);
-        if number == behind {
+        if number == repeat_at {
             thread::sleep(COPY_DELAY);
             let written = socket.write_all(first.as_bytes());
             thread::sleep(COPY_DELAY);
@@ -559,12 +559,13 @@
     at
 }
 
-/// Sends safe requests one by one to such a server, and asserts that each gets its own response.
-fn assert_copy_answers_no_request(first: String, behind: usize) {
-    let server = Entry::new(server_repeating_first_answer(first, behind), "a");
+/// Sends safe requests one by one to a server that repeats its first response, and asserts that each later request gets
+/// its own response.
+fn assert_copy_answers_no_request(first: String, repeat_at: usize) {
+    let server = Entry::new(server_repeating_first_answer(first, repeat_at), "a");
     let sidecar = Sidecar::start(Registry::start(vec![server]));
     sidecar.exchange(&look("first"));
-    for n in 1..=behind {
+    for n in 1..=repeat_at {
         thread::sleep(PAUSE);
         let id = format!("look{n}");
         let answer = sidecar.exchange(&look(&id));
@@ -588,7 +589,7 @@
 
 /// A request gets a copy of an earlier rejection first, and its own response while the next request is in progress.
 #[test]
-fn answer_that_comes_behind_the_copy_of_a_rejection_does_not_answer_the_next_request() {
+fn answer_after_the_copy_of_a_rejection_does_not_answer_the_next_request() {
     const COPY_DELAY: Duration = Duration::from_millis(20);
     const WORK: Duration = Duration::from_millis(65);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
