--- a/crates/config-distribution/src/host.rs
+++ b/crates/config-distribution/src/host.rs
@@ -28,7 +28,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Maximum number of times that the backoff doubles. It keeps the shift from overflowing.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Time for which a server is avoided after a failure.
+/// Maximum time for which a server is avoided after a failure. It is shorter for hosts that know only few servers.
 const AVOID_AFTER_FAILURE: Duration = Duration::from_secs(5);
 /// Delay after which a configuration is applied again if it failed for a temporary reason.
 const REAPPLY_DELAY: Duration = Duration::from_secs(2);
@@ -246,8 +246,9 @@
     /// Records that a watch request failed, and schedules the next one.
     pub fn watch_failed(&mut self, failure: WatchFailure, now: Duration) {
         let Some(current) = self.current.take() else { return };
-        let longest = MAX_BACKOFF * self.candidates.len() as u32 / 2;
-        self.candidates[current].avoided_until = now + AVOID_AFTER_FAILURE.min(longest);
+        // The fewer servers there are, the sooner a failed one is tried again.
+        let limit = MAX_BACKOFF * self.candidates.len() as u32 / 2;
+        self.candidates[current].avoided_until = now + AVOID_AFTER_FAILURE.min(limit);
         // If all servers have failed, none is avoided, so that the first one to come back is found.
         if self.candidates.iter().all(|candidate| candidate.avoided_until > now) {
             self.candidates.iter_mut().for_each(|candidate| candidate.avoided_until = now);
--- a/crates/config-distribution/src/net/store.rs
+++ b/crates/config-distribution/src/net/store.rs
@@ -84,7 +84,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the state cannot be written. The previous state is still on disk then.
+    /// Returns an error if the state cannot be written. The previous state is usually still on disk then, see
+    /// [`fleet::write_atomically`].
     pub fn write(&self, state: &impl Serialize) -> Result<(), StoreError> {
         let text = serde_json::to_vec(state).map_err(|error| self.json_error(error))?;
         fleet::write_atomically(&self.path, &text).map_err(|error| self.io_error(error))
--- a/crates/config-distribution/src/net/target.rs
+++ b/crates/config-distribution/src/net/target.rs
@@ -22,7 +22,8 @@
     /// Returns the applied configuration, as far as it is known. Its generation is never lower than the real one.
     fn applied(&mut self) -> impl Future<Output = ConfigSnapshot>;
 
-    /// Applies all documents for the host. If that fails, the previous configuration stays in effect.
+    /// Applies all documents for the host. If they are rejected, the previous configuration stays in effect. If they
+    /// could not be applied for a temporary reason, the new configuration may already be written.
     fn apply(&mut self, config: &ConfigSnapshot) -> impl Future<Output = ApplyOutcome>;
 }
 
--- a/crates/config-distribution/src/replica.rs
+++ b/crates/config-distribution/src/replica.rs
@@ -230,8 +230,8 @@
         true
     }
 
-    /// Returns the committed documents for a subscriber that are newer than `since`, or a snapshot if `since` is 0 or
-    /// older than the tombstones, so that withdrawn documents cannot be listed.
+    /// Returns the committed documents for a subscriber that are newer than `since`. Returns a snapshot if `since` is 0,
+    /// or if tombstones after `since` have been removed, because the withdrawn documents cannot be listed then.
     pub fn select(&self, interest: &Interest, since: Generation) -> Selection<'_> {
         let is_snapshot = since == 0 || since < self.tombstone_floor;
         let is_selected = |document: &Document| match is_snapshot {
--- a/crates/config-distribution/tests/decisions.rs
+++ b/crates/config-distribution/tests/decisions.rs
@@ -21,7 +21,7 @@
 /// Seeds that failed in a run of 5,000. In 686 a restarted origin began an epoch in which it had led before its
 /// restart. In 4859 an origin took over the replica of a member that had lost its disk since its request.
 #[test]
-fn seeds_that_failed_before_pass() {
+fn previously_failing_seeds_pass() {
     for seed in [686, 4859] {
         assert!(Simulation::run(seed).acknowledged > 0, "seed {seed}");
     }
@@ -43,7 +43,7 @@
     settle(&mut simulation, 0);
     let first = simulation.origins[0].publish(key("s0"), body(1)).expect("it leads");
     let same = simulation.origins[0].publish(key("s0"), body(1));
-    assert_eq!(same, Ok(first), "the same is no change");
+    assert_eq!(same, Ok(first), "an equal body makes no change");
     settle(&mut simulation, 0);
     assert!(simulation.origins[0].replica().committed() >= first);
     settle(&mut simulation, 1);
--- a/crates/config-distribution/tests/faults.rs
+++ b/crates/config-distribution/tests/faults.rs
@@ -26,7 +26,7 @@
     cluster.servers[0].as_ref().expect("there").signal(Signal::STOP);
     cluster.servers[1] = None;
     let second = cluster.publish(0, "a", &json!({"n": 2}));
-    println!("after {:?} with two of five servers gone", hosts.wait_until_applied(2));
+    println!("applied after {:?} with two of five servers down", hosts.wait_until_applied(2));
     cluster.wait_until_applied(0, second, 60);
     let unreachable = cluster.progress(0).unreachable_servers;
     assert_eq!(unreachable, ["c0", "c1"]);
--- a/crates/config-distribution/tests/support/replication.rs
+++ b/crates/config-distribution/tests/support/replication.rs
@@ -279,7 +279,10 @@
         for (m, member) in self.members.iter().enumerate() {
             let (name, replica) = (server_name(m), member.replica());
             let committed = replica.committed();
-            assert!(committed >= self.last_committed[m], "{name} goes back to {committed}");
+            assert!(
+                committed >= self.last_committed[m],
+                "{name}: the committed generation decreases to {committed}"
+            );
             self.last_committed[m] = committed;
             // A replica with uncommitted revisions may lack the last committed text of a document for a while.
             if replica.version().generation > committed {
@@ -288,7 +291,7 @@
             let selection = replica.select(&interest(&["s0", "s1", "s2"], "a"), 0);
             let content: Content = selection.documents.into_iter().map(entry).collect();
             let known = self.committed.entry(committed).or_insert_with(|| content.clone());
-            assert_eq!(*known, content, "{name}: generation {committed} is two things");
+            assert_eq!(*known, content, "{name}: generation {committed} has another content");
         }
         for origin in self.origins.iter().filter(|origin| origin.is_leading()) {
             self.acknowledged = self.acknowledged.max(origin.replica().committed());
--- a/crates/fleet/src/daemon/adoption.rs
+++ b/crates/fleet/src/daemon/adoption.rs
@@ -48,7 +48,8 @@
         Ok(())
     }
 
-    /// Continues with the stored state, and rolls out the desired state in the file if that has changed.
+    /// Continues with the stored state. Rolls out the desired state in the file if that has changed and no
+    /// rollout is in progress.
     fn resume_stored_state(&mut self) {
         let target = self.state.target;
         self.record(&Subject::Generation(target), &FleetEvent::TakenOver);
--- a/crates/fleet/src/spec/file.rs
+++ b/crates/fleet/src/spec/file.rs
@@ -97,6 +97,7 @@
     pub(super) listen: Spanned<ListenAddresses>,
     pub(super) discovery: SocketAddr,
     pub(super) zone: Option<Spanned<String>>,
+    /// The number of the first instance in its tier (`me` in its settings).
     #[serde(default)]
     pub(super) first: u32,
     pub(super) limits: Spanned<LimitsSection>,
--- a/crates/fleet/src/spec/mod.rs
+++ b/crates/fleet/src/spec/mod.rs
@@ -24,7 +24,7 @@
 const MAX_INSTANCES: usize = 2000;
 /// The deadline, in microseconds, of requests whose class has none.
 const DEFAULT_DEADLINE_US: u64 = 3_000_000;
-/// The time beyond its longest deadline that the platform gives an instance to drain.
+/// The time that a draining instance gets beyond the longest deadline of its requests. The platform grants the same.
 const DRAIN_GRACE: Duration = Duration::from_millis(1500);
 
 /// A validated desired state. It is self-contained: later changes of the files that it was read from do
@@ -50,6 +50,7 @@
     /// a port for each instance.
     pub listen: Vec<SocketAddr>,
     discovery: SocketAddr,
+    /// The number of the first instance in its tier (`me` in its settings).
     #[serde(rename = "first")]
     first_number: u32,
     memory_mb: u64,
--- a/crates/fleet/tests/planner/main.rs
+++ b/crates/fleet/tests/planner/main.rs
@@ -25,15 +25,15 @@
 
 #[test]
 fn decisions_of_fixed_seeds_are_unchanged() {
-    let mut sum = DecisionHash::new();
+    let mut hash = DecisionHash::new();
     for seed in 0..100 {
         let mut world = World::new(seed, 8);
         world.run_through_faults();
         world.run_to_the_desired_state();
-        sum.number(world.decisions.0);
+        hash.number(world.decisions.0);
     }
-    let found = sum.0;
-    assert_eq!(found, DECISIONS_OF_FIRST_100_SEEDS, "the decisions sum to {found:#018x}");
+    let found = hash.0;
+    assert_eq!(found, DECISIONS_OF_FIRST_100_SEEDS, "the hash of the decisions is {found:#018x}");
 }
 
 fn seeds() -> std::ops::Range<u64> {
--- a/crates/lbctl/src/demo.rs
+++ b/crates/lbctl/src/demo.rs
@@ -57,7 +57,7 @@
     Step { title: "reload: a new latency objective, applied without a restart", run: reload_live },
     Step { title: "a sidecar is killed with SIGKILL", run: kill_sidecar },
     Step {
-        title: "reload: a new goal, applied by successors on the same listeners",
+        title: "reload: a setting that needs a restart (goal.whole), applied by successors on the same listeners",
         run: reload_by_successors,
     },
     Step { title: "the daemon is killed with SIGKILL and restarted", run: restart_daemon },
--- a/crates/lbctl/src/scale.rs
+++ b/crates/lbctl/src/scale.rs
@@ -38,8 +38,8 @@
         #[arg(long)]
         sidecars: Option<usize>,
         /// The number of runs.
-        #[arg(long, default_value_t = 1)]
-        plays: usize,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1)]
+        runs: usize,
         /// Print one JSON line per run.
         #[arg(long)]
         json: bool,
@@ -67,9 +67,9 @@
 /// Runs the command.
 pub fn run(arguments: &Arguments) -> ExitCode {
     exit_code(match &arguments.command {
-        Command::Run { file, sidecars, plays, json } => {
+        Command::Run { file, sidecars, runs, json } => {
             let format = if *json { Format::Json } else { Format::Table };
-            run_repeatedly(file, *sidecars, *plays, format)
+            run_repeatedly(file, *sidecars, *runs, format)
         }
         Command::Slopes { file, sizes } => fit_sizes(file, sizes),
         Command::Hollow => run_hollow(),
@@ -88,12 +88,12 @@
 fn run_repeatedly(
     file: &Path,
     sidecars: Option<usize>,
-    plays: usize,
+    runs: usize,
     format: Format,
 ) -> Result<Outcome, CommandError> {
     let plan = read(file, sidecars)?;
     let mut passed = true;
-    for _ in 0..plays.clamp(1, MAX_RUNS) {
+    for _ in 0..runs.clamp(1, MAX_RUNS) {
         let report = run_once(&plan, format)?;
         passed &= report.failures.is_empty();
         match format {
@@ -146,7 +146,7 @@
 fn print_costs(report: &Report) {
     println!(
         "{:<10}{:>14}{:>14}{:>14}{:>14}{:>12}",
-        "role", "CPU quiet", "most", "changing", "most", "MB most"
+        "role", "CPU quiet", "max", "changing", "max", "MB max"
     );
     for (role, cost) in &report.costs {
         println!(
@@ -168,7 +168,7 @@
         print_report(&report);
         reports.push(report);
     }
-    println!("\n{:<40}{:>14}{:>14}  residuals", "figure", "base", "per sidecar");
+    println!("\n{:<40}{:>14}{:>14}  residuals", "metric", "intercept", "per sidecar");
     print_fits(&reports);
     Ok(Outcome::of(reports.iter().all(|report| report.failures.is_empty())))
 }
--- a/crates/lbctl/src/table.rs
+++ b/crates/lbctl/src/table.rs
@@ -75,7 +75,7 @@
 pub fn account(report: &Report) {
     println!(
         "{:14} {:>7} {:>7} {:>8} {:>7} {:>5} {:>9} {:>9} {:>9}",
-        "class", "asked", "served", "refused", "failed", "open", "p50 ms", "p99 ms", "most ms"
+        "class", "sent", "served", "refused", "failed", "open", "p50 ms", "p99 ms", "max ms"
     );
     for c in &report.classes {
         println!(
@@ -95,7 +95,7 @@
 
 /// Prints the request counts of each server.
 pub fn servers(report: &Report) {
-    println!("{:14} {:>7} {:>7} {:>11} {:>8}", "server", "came", "ran", "turned away", "dropped");
+    println!("{:14} {:>7} {:>7} {:>11} {:>8}", "server", "arrived", "ran", "rejected", "deduped");
     for (name, s) in &report.servers {
         println!(
             "{:14} {:>7} {:>7} {:>11} {:>8}",
--- a/crates/local-cluster/tests/hard_cases/daemon.rs
+++ b/crates/local-cluster/tests/hard_cases/daemon.rs
@@ -117,7 +117,7 @@
 fn daemon_notifies_its_service_manager() {
     let mut host = start_host(3);
     host.kill_daemon();
-    let path = host.file_path("keeper.sock");
+    let path = host.file_path("manager.sock");
     let service_manager = UnixDatagram::bind(&path).expect("a socket");
     service_manager.set_read_timeout(Some(TIMEOUT)).expect("a time");
     let mut command = host.daemon_command();
--- a/crates/scale-test/src/hollow/sidecar.rs
+++ b/crates/scale-test/src/hollow/sidecar.rs
@@ -14,7 +14,7 @@
 use fakes::registry::{Entry, Registry};
 use instance_status::{InstanceStatus, RequestCounts};
 use lb_sidecar::api::ListKind;
-use lb_sidecar::settings::DiscoveryMode as How;
+use lb_sidecar::settings::DiscoveryMode;
 use lb_sidecar::sidecar::config::{BorrowedText, Config, EndpointList};
 use lb_sidecar::sidecar::discovery::{Discovery, DiscoveryRequest, EndpointListener};
 use lb_sidecar::sidecar::gossip::Membership as GossipMembership;
@@ -170,7 +170,8 @@
     let (call_sender, calls) = mpsc::unbounded_channel::<DiscoveryRequest>();
     let grace = Duration::from_micros(config.settings.rules.drain_deadline);
     let (attempted, status) = (Rc::new(Notify::new()), Rc::new(Status::default()));
-    let discovery = Discovery::<TokioRuntime>::new(address, How::Push, grace, 0, attempted, status);
+    let discovery =
+        Discovery::<TokioRuntime>::new(address, DiscoveryMode::Push, grace, 0, attempted, status);
     let lists = ListCounter(counters.clone());
     tokio::task::spawn_local(async move {
         // Keeps the channels open until the process exits.
