--- a/crates/config-distribution/tests/compatibility.rs
+++ b/crates/config-distribution/tests/compatibility.rs
@@ -259,7 +259,7 @@
         seed: 1,
     };
     let _host = Running::start(move |_| host::run(config, Rejecting(0)));
-    until("it has sent all requests", || server.exchanges().len() > names.len());
+    until("the host has sent all requests", || server.exchanges().len() > names.len());
     for (name, exchange) in names.iter().zip(server.exchanges()) {
         assert_fixture(name, &exchange.text());
     }
--- a/crates/config-distribution/tests/faults.rs
+++ b/crates/config-distribution/tests/faults.rs
@@ -206,7 +206,7 @@
     let hosts = cluster.start_hosts(&names("h", 6), &[0, 1, 2]);
     hosts.wait_until_applied(1);
     lose_disk(&mut cluster, 0);
-    until("it has recovered", || {
+    until("the server has recovered", || {
         cluster.request_server(0, "/config/status").is_ok_and(|s| s["promised"].is_number())
     });
     // The recovered server votes again, so another one may be down.
@@ -293,7 +293,7 @@
     cluster.publish(0, "a", &json!({"n": 1}));
     hosts.wait_until_applied(1);
     let server = cluster.servers[0].as_mut().expect("started");
-    assert!(!server.has_ended(), "it has ended");
+    assert!(!server.has_ended(), "the control server has ended");
 }
 
 /// System calls are interrupted while the host starts the program that checks a configuration, and waits for its end.
@@ -326,5 +326,5 @@
             value["n"] == n
         });
     }
-    assert!(!host.has_ended(), "it has ended");
+    assert!(!host.has_ended(), "the host has ended");
 }
--- a/crates/config-distribution/tests/hosts.rs
+++ b/crates/config-distribution/tests/hosts.rs
@@ -144,7 +144,9 @@
         let requests = scope.spawn(|| send_requests(sidecar.at, &stop, &served));
         let stop_requests = StopOnDrop(&stop);
         let first = cluster.publish(0, "logbook@utrecht", &json!({"limits": {"sockets": 200}}));
-        until("it runs the change", || sidecar.state()["generation"].as_u64() >= Some(first));
+        until("the sidecar runs the change", || {
+            sidecar.state()["generation"].as_u64() >= Some(first)
+        });
         cluster.wait_until_applied(0, first, 1);
         let applied_text = std::fs::read_to_string(&sidecar.config).expect("there");
         assert!(
@@ -168,7 +170,7 @@
         let restart_only =
             json!({"settings": {"limits": {"maxRetryAfter": 1_500_000}, "zones": ["x", "y", "z"]}});
         cluster.publish(0, "logbook", &restart_only);
-        until("it is rejected by its key", || {
+        until("the change is rejected with the name of its key", || {
             cluster
                 .progress(0)
                 .lagging
@@ -219,13 +221,13 @@
     assert!(text(host.file_path("settings.json")).contains("1200000"));
     // A change that the sidecar's check rejects, and one that sets more than the settings.
     cluster.publish(0, "logbook", &json!({"settings": {"limits": {"maxAttempts": "many"}}}));
-    until("it is rejected", || cluster.progress(0).all.failed == 1);
+    until("the change is rejected", || cluster.progress(0).all.failed == 1);
     assert!(
         text(host.file_path("settings.json")).contains("1200000"),
         "the previous settings stay"
     );
     cluster.publish(0, "logbook", &json!({"limits": {"sockets": 100}}));
-    until("it is rejected by its key", || {
+    until("the change is rejected with the name of its key", || {
         cluster
             .progress(0)
             .lagging
@@ -259,7 +261,7 @@
     let (status, out, errors) = operator(&["publish", "a", &path, "--within", "30s"]);
     assert_eq!(status, Some(0), "{out}{errors}");
     hosts.wait_until_applied(1);
-    until("all are counted", || cluster.progress(0).all.hosts == 5);
+    until("all hosts are counted", || cluster.progress(0).all.hosts == 5);
     let (status, out, _) = operator(&["status"]);
     assert!(
         status == Some(0)
--- a/crates/fleet/tests/compatibility.rs
+++ b/crates/fleet/tests/compatibility.rs
@@ -269,7 +269,7 @@
     for variable in ["LB_FLEET", "PLANKVALE_FLEET"] {
         let mut command = Command::new("sleep");
         let mut child = command.arg("600").env(variable, &identity).spawn().expect("it starts");
-        until("it is found", || find_instances(folder.path()).len() == 1);
+        until("the instance is found", || find_instances(folder.path()).len() == 1);
         let (identity, process) = find_instances(folder.path()).remove(0);
         assert_eq!(
             (identity.slot.as_str(), identity.generation, identity.program_id),
