--- a/crates/lbctl/src/scale.rs
+++ b/crates/lbctl/src/scale.rs
@@ -146,7 +146,7 @@
 fn print_costs(report: &Report) {
     println!(
         "{:<10}{:>14}{:>14}{:>14}{:>14}{:>12}",
-        "role", "CPU quiet", "max", "changing", "max", "MB max"
+        "role", "CPU quiet", "most", "changing", "most", "MB most"
     );
     for (role, cost) in &report.costs {
         println!(
@@ -168,7 +168,7 @@
         print_report(&report);
         reports.push(report);
     }
-    println!("\n{:<40}{:>14}{:>14}  residuals", "metric", "intercept", "per sidecar");
+    println!("\n{:<40}{:>14}{:>14}  residuals", "figure", "base", "per sidecar");
     print_fits(&reports);
     Ok(Outcome::of(reports.iter().all(|report| report.failures.is_empty())))
 }
--- a/crates/lbctl/src/table.rs
+++ b/crates/lbctl/src/table.rs
@@ -75,7 +75,7 @@
 pub fn account(report: &Report) {
     println!(
         "{:14} {:>7} {:>7} {:>8} {:>7} {:>5} {:>9} {:>9} {:>9}",
-        "class", "sent", "served", "refused", "failed", "open", "p50 ms", "p99 ms", "max ms"
+        "class", "asked", "served", "refused", "failed", "open", "p50 ms", "p99 ms", "max ms"
     );
     for c in &report.classes {
         println!(
@@ -95,7 +95,7 @@
 
 /// Prints the request counts of each server.
 pub fn servers(report: &Report) {
-    println!("{:14} {:>7} {:>7} {:>11} {:>8}", "server", "arrived", "ran", "rejected", "deduped");
+    println!("{:14} {:>7} {:>7} {:>11} {:>8}", "server", "came", "ran", "rejected", "dropped");
     for (name, s) in &report.servers {
         println!(
             "{:14} {:>7} {:>7} {:>11} {:>8}",
--- a/crates/lbctl/src/tier.rs
+++ b/crates/lbctl/src/tier.rs
@@ -155,7 +155,7 @@
     let names: BTreeSet<&String> = views.iter().flat_map(|view| view.metrics.keys()).collect();
     print!("{:44}", "");
     views.iter().for_each(|view| print!(" {:>22}", view.address.to_string()));
-    println!(" {:>10}", if views.len() > 1 { "spread" } else { "" });
+    println!(" {:>10}", if views.len() > 1 { "apart" } else { "" });
     for name in names {
         let values: Vec<Option<f64>> =
             views.iter().map(|view| view.metrics.get(name).copied()).collect();
--- a/crates/lbctl/src/trial.rs
+++ b/crates/lbctl/src/trial.rs
@@ -159,7 +159,7 @@
                 println!("{name}: {sidecar_count} sidecars for {duration_s} s, seed {seed}");
                 println!(
                     "{:>7} {:>6} {:>8} {:>8} {:>8} {:>8} {:>7} {:>9}",
-                    "s", "report", "sent/s", "served/s", "refused", "failed", "broken", "gossip/s"
+                    "s", "tell", "asked/s", "served/s", "refused", "failed", "broken", "notes/s"
                 );
             }
             Progress::Event(event) => show_event(event),
