--- a/tests/size.rs
+++ b/tests/size.rs
@@ -167,7 +167,7 @@
     };
     assert_eq!(tier(4800, 32), (true, String::new()));
     let (valid, why) = tier(4800, 16);
-    assert!(!valid && why.contains("settings.instances: 4096 at most expected"), "{why}");
+    assert!(!valid && why.contains("settings.instances: must be at most 4096 with"), "{why}");
 }
 
 #[test]
@@ -181,5 +181,5 @@
     };
     assert_eq!(known(32), (true, String::new()));
     let (valid, why) = known(16);
-    assert!(!valid && why.contains("known.hosts: 4096 at most expected"), "{why}");
+    assert!(!valid && why.contains("known.hosts: must have at most 4096 entries with"), "{why}");
 }
