--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -26,7 +26,8 @@
 pub const MAX_TENANTS: usize = 20;
 /// Maximum number of request classes whose demand is shared: the first ones in the settings.
 pub const MAX_CLASSES: usize = 8;
-/// Number of values before those of tenants, which the retryable failures and the values of classes follow.
+/// Number of values before those of tenants. After the tenants' values come the retryable failures and the values of
+/// classes.
 pub const FIXED_VALUES: usize = 5;
 /// Maximum number of values in a message.
 pub const MAX_VALUES: usize = FIXED_VALUES + MAX_TENANTS + 1 + MAX_CLASSES;
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -332,7 +332,7 @@
         self.rates.record(position, now);
     }
 
-    /// Returns the retries that this member may send, as of its last round.
+    /// Returns the limits of the retries that this member may send, as of its last round.
     pub fn retry_budget(&self) -> RetryBudget {
         self.retry_budget
     }
--- a/crates/gossip/src/snapshot.rs
+++ b/crates/gossip/src/snapshot.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::membership::MemberCounts;
 
-/// The number of retries that a member may send.
+/// The limits of the retries that a member may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries granted for each request that arrives.
--- a/src/sidecar/gossip.rs
+++ b/src/sidecar/gossip.rs
@@ -78,7 +78,7 @@
         self.node.borrow_mut().try_admit(class, tenant, self.now())
     }
 
-    /// Returns the number of retries that this sidecar may send.
+    /// Returns the limits of the retries that this sidecar may send.
     pub fn retry_budget(&self) -> RetryBudget {
         self.node.borrow().retry_budget()
     }
--- a/src/sidecar/ingress/service.rs
+++ b/src/sidecar/ingress/service.rs
@@ -50,7 +50,7 @@
         let ConnectionEnd { responded, reason } = self.serve_requests(&connection, &socket).await;
         self.record_end(&connection, reason);
         // Applies also if hyper has closed its side gracefully, since hyper never got the faulty input.
-        let rejected = reject_unframed(&connection, &*socket);
+        let rejected = reject_framing_error(&connection, &*socket);
         if responded || rejected {
             connection.enter(Phase::Lingering);
             tokio::select! {
@@ -115,7 +115,7 @@
             tracing::warn!(
                 unanswered = count,
                 queue_is_open,
-                "process ends before all is answered"
+                "process exits before all client input is answered"
             );
         }
         for connection in unanswered().take(MAX_LOGGED_AT_EXIT) {
@@ -253,7 +253,7 @@
 }
 
 /// Rejects a request with a framing error, if a response can still be written. Returns whether it was.
-fn reject_unframed<P: Runtime>(connection: &ClientConnection<P>, socket: &P::Tcp) -> bool {
+fn reject_framing_error<P: Runtime>(connection: &ClientConnection<P>, socket: &P::Tcp) -> bool {
     connection.framing_error().is_some_and(|error| {
         matches!(
             connection.phase(),
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -57,7 +57,7 @@
 pub struct Sockets<P: Runtime> {
     /// Accepts client connections.
     pub listener: P::Listener,
-    /// The listener is inherited, and a predecessor accepts on it until this sidecar can serve.
+    /// The listener is inherited, and a predecessor may accept on it until this sidecar can serve.
     pub listener_shared: bool,
     /// Receives datagrams of other sidecars; `None` if they are not received.
     pub peers: Option<P::Udp>,
--- a/src/sidecar/shutdown.rs
+++ b/src/sidecar/shutdown.rs
@@ -16,7 +16,8 @@
 /// Time from the signal after which an incomplete request is no longer admitted, since it might not be served in time.
 /// The process is killed no earlier than 0.7 s plus the longest deadline after the signal.
 const ADMISSION_PERIOD: Duration = Duration::from_millis(650);
-/// Time from the signal, in addition to the longest deadline, after which the process exits: just less than the 0.7 s.
+/// Time from the signal, in addition to the longest deadline, after which the process exits: just before the 0.7 s after
+/// which it may be killed.
 const EXIT_GRACE_PERIOD: Duration = Duration::from_millis(695);
 /// Time before the exit at which open requests are failed: the process may be held up for 0.15 s and killed right after
 /// that.
--- a/src/sidecar/startup.rs
+++ b/src/sidecar/startup.rs
@@ -266,7 +266,7 @@
     pub admin: Option<Rc<Admin<P>>>,
     pub live: Rc<LiveConfig>,
     pub listener: P::Listener,
-    /// The listener is inherited, and a predecessor accepts on it until this sidecar can serve.
+    /// The listener is inherited, and a predecessor may accept on it until this sidecar can serve.
     pub listener_shared: bool,
     /// Notified once the first call of discovery has completed or failed.
     pub discovery_attempted: Rc<Notify>,
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -54,9 +54,9 @@
     }
 }
 
-/// A change of the endpoint list is logged, and `show-discovery` has the version of the list in force.
+/// A change of the endpoint list is logged, and `show-discovery` has the version of the current list.
 #[test]
-fn endpoint_list_in_force_and_its_changes_can_be_seen() {
+fn current_endpoint_list_and_its_changes_are_reported() {
     let (server, joining) = (Server::echo(), Server::echo());
     let registry = discovery(&[&server]);
     let sidecar = Sidecar::start_with(registry.clone(), with_admin);
@@ -67,10 +67,10 @@
         assert!(response.contains("\ndiscovery.overdue=0\n"), "{response}");
         response.lines().find_map(|line| line.strip_prefix("discovery.version=").map(str::to_owned))
     };
-    until("the first list is in force", || version().as_deref() == Some("1"));
+    until("the first list is applied", || version().as_deref() == Some("1"));
     registry.update(Entry::new(joining.at, "a"));
     registry.set_health(&name_of(&server), "leaving");
-    until("the last list is in force", || version().as_deref() == Some("3"));
+    until("the last list is applied", || version().as_deref() == Some("3"));
     let log = sidecar.log();
     let changed = |field: &str, server: &Server| {
         let is_logged = |line: &&str| {
@@ -130,7 +130,7 @@
     let other = discovery(&[&disabled, &server, &third]);
     sidecar.replace_config(&sidecar.config_with_discovery(&other));
     sidecar.signal("HUP");
-    until("the new list is in force", || statistic(&call(admin, "show-stat\n"), "pool_size") == 3);
+    until("the new list is applied", || statistic(&call(admin, "show-stat\n"), "pool_size") == 3);
     send_requests(&sidecar, 0..20, "b");
     assert_eq!(disabled.seen().len(), 0);
     assert_eq!(server.seen().len() + third.seen().len(), 40);
@@ -292,7 +292,7 @@
     }
 
     #[test]
-    fn aborted_upload_never_ran_and_its_server_receives_nothing_more() {
+    fn aborted_upload_is_not_executed_and_its_server_receives_nothing_more() {
         let (at, bodies) = body_length_server();
         let sidecar = Sidecar::start_with(discovery_with(at), with_admin);
         let mut socket = send_head(&sidecar, "cut", &format!("Content-Length: {LONG}"));
@@ -316,7 +316,7 @@
     #[test]
     fn server_that_closes_within_a_long_body_leads_to_a_harmless_rejection() {
         // In bytes; more than the system buffers between two sockets (a few megabytes each, see tcp(7)). A shorter
-        // body may be sent completely before a slow server closes; then the request counts as one that may have run
+        // body may be sent completely before a slow server closes; then the request counts as possibly executed
         // and is not rejected.
         const BEYOND_SOCKET_BUFFERS: usize = 8 * LONG;
         let server = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/lifecycle/resting_connections.rs
+++ b/tests/lifecycle/resting_connections.rs
@@ -222,7 +222,7 @@
 /// The requests arrive while the process is held up after it has fetched its events, in the iteration of the event loop
 /// that closes their connection.
 #[test]
-fn requests_that_arrive_behind_the_last_events_before_a_close_are_answered() {
+fn requests_that_arrive_after_the_last_events_before_a_close_are_answered() {
     /// Delay after which most connections have been closed despite hold-ups.
     const LONGEST_DELAY: Duration = Duration::from_millis(800);
     let server = Server::echo();
--- a/tests/lifecycle/shutdown.rs
+++ b/tests/lifecycle/shutdown.rs
@@ -306,7 +306,7 @@
 fn request_that_is_unanswered_as_its_process_exits_is_logged() {
     let log = (0..5).find_map(|_| log_of_exit_during_hold_up()).expect("an unanswered request");
     let has = |parts: &[&str]| log.lines().any(|line| parts.iter().all(|part| line.contains(part)));
-    assert!(has(&["process ends before all is answered"]), "{log}");
+    assert!(has(&["process exits before all client input is answered"]), "{log}");
     let reason = "\"reason\":\"draining\"";
     assert!(has(&["client connection closed with a request unanswered", reason]), "{log}");
 }
--- a/tests/lifecycle/system_calls.rs
+++ b/tests/lifecycle/system_calls.rs
@@ -281,7 +281,7 @@
 /// The sidecar checks the socket of an idle connection and finds no input, then the request arrives, then the sidecar
 /// shuts the connection down.
 #[test]
-fn request_that_arrives_between_the_look_at_its_connection_and_the_close_is_answered() {
+fn request_that_arrives_between_the_check_and_the_shutdown_of_its_connection_is_answered() {
     /// Duration of the hold-up that the library injects between the check and the shutdown.
     const HOLD: Duration = Duration::from_millis(100);
     let server = Server::echo();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -304,7 +304,7 @@
 /// Guards against non-idempotent requests sent for a client that has disconnected: the end of its connection lies
 /// behind a request body that is not being read, for lack of memory.
 #[test]
-fn client_that_leaves_behind_an_unread_body_is_disconnected() {
+fn client_that_disconnects_after_an_unread_body_is_detected() {
     let server = Server::echo();
     let sidecar = Sidecar::start_with(discovery(&[&server]), |config| {
         config["limits"]["memory_mb"] = 16.into();
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -45,7 +45,7 @@
         serde_json::json!([{"name": "club", "quotaPerS": 5.0, "share": 1.0}]);
     let state = reload(&sidecar, &config);
     assert_eq!((&state["generation"], &state["declined"]), (&2.into(), &Value::Null));
-    // The tenants are in force: a request that names none is rejected.
+    // The new tenants apply: a request that names none is rejected.
     assert!(sidecar.exchange(&look("a")).starts_with("HTTP/1.1 400"));
     let with_tenant = |id| look(id).replace("\r\nX-Time", "\r\nX-Account: club\r\nX-Time");
     assert!(sidecar.exchange(&with_tenant("b")).ends_with("\r\n\r\nb"));
