--- a/src/sidecar/admin/state.rs
+++ b/src/sidecar/admin/state.rs
@@ -7,7 +7,8 @@
 
 use super::command::Command;
 
-/// Maximum number of disabled servers, which is more than the longest endpoint list contains.
+/// Maximum number of disabled servers: as many as an endpoint list may have with the minimum memory limit. With more
+/// memory, lists may be longer.
 const MAX_DISABLED_SERVERS: usize = 4096;
 
 /// The admin state. It stays in effect until it is changed, also across a replacement of the process. Earlier and later
--- a/tests/lifecycle/discovery.rs
+++ b/tests/lifecycle/discovery.rs
@@ -70,7 +70,8 @@
     silent.set_as_discovery_of(&sidecar);
     until("the agent is called often", || silent.calls().len() >= 8);
     let calls = silent.calls();
-    // The calls are about a quarter of the stop-sending time apart; sequential calls would take 0.8 s each.
+    // The calls are about an eighth of the stop-sending time apart; sequential calls would take 2 s each, the timeout
+    // of a response head.
     let took = calls[7].0 - calls[0].0;
     assert!(took < Duration::from_secs(4), "eight calls took {took:?}");
     assert!(
--- a/tests/lifecycle/idle_close.rs
+++ b/tests/lifecycle/idle_close.rs
@@ -7,7 +7,7 @@
 
 use crate::net::*;
 
-/// Number of connections. With 64 descriptors, the ones that have been idle longest are evicted above six.
+/// Number of connections. With 64 descriptors, the ones that have been idle longest are evicted above four.
 const CONNECTIONS: usize = 8;
 /// Longer than the minimum idle time after which a used connection may be evicted.
 const EVICTABLE_AFTER: Duration = Duration::from_millis(200);
@@ -54,7 +54,7 @@
     assert_eq!(unanswered, Vec::<String>::new());
 }
 
-/// Minimum time for which a new connection is kept for its first request.
+/// Time for which a new connection is kept for its first request, below the sidecar's minimum of 20 ms.
 const KEPT_UNUSED: Duration = Duration::from_millis(15);
 
 /// More clients connect at the same time than the connection budget allows, and each sends its request at once.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -441,7 +441,7 @@
 fn idle_connections_are_evicted_early_among_many() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    // Of 64 sockets, 20 are for clients. The test has five rounds, since a hold-up of a second fails a round.
+    // Of 64 sockets, 14 are for clients. The test has five rounds, since a hold-up of a second fails a round.
     let closed_early = (0..5).any(|round| {
         let mut held: Vec<TcpStream> = Vec::new();
         let start = Instant::now();
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -74,7 +74,7 @@
         drop(all);
         most
     };
-    // Of 64 descriptors, 20 are for clients.
+    // Of 64 descriptors, 14 are for clients.
     assert!(peak_client_count() <= 20);
     let mut config: Value = sidecar.config().clone();
     config["generation"] = 1.into();
