--- a/crates/simulation/examples/mutants/main.rs
+++ b/crates/simulation/examples/mutants/main.rs
@@ -33,7 +33,7 @@
     /// The number of copies of the workspace that are built and run in parallel.
     #[arg(long, default_value_t = 1)]
     copies: usize,
-    /// Only mutants whose name contains this text.
+    /// Run only mutants whose name contains this text.
     only: Option<String>,
 }
 
@@ -49,7 +49,9 @@
     match play_all(&Arguments::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(missed) => {
-            eprintln!("{missed} mutants were not found, or only with differing results");
+            eprintln!(
+                "{missed} mutants were not found, or their first seed had another result when run again"
+            );
             ExitCode::from(1)
         }
         Err(error) => {
@@ -59,7 +61,7 @@
     }
 }
 
-/// Plays all wanted mutants, and returns how many were missed.
+/// Runs the selected mutants. Returns the number of those that were not found, or only with differing results.
 fn play_all(arguments: &Arguments) -> Result<usize, Error> {
     let mutants = mutant::load()?;
     let wanted =
@@ -79,7 +81,8 @@
     results.into_iter().sum()
 }
 
-/// Runs mutants in one copy of the workspace until none is left. Returns the number of mutants that were not found.
+/// Runs mutants in one copy of the workspace until none is left. Returns the number of mutants that were not found, or
+/// only with differing results.
 fn play_in_copy(number: usize, queue: &Queue<'_>, seeds: u64) -> Result<usize, Error> {
     let copy = WorkspaceCopy::create(number)?;
     let mut missed = 0;
--- a/crates/simulation/src/oracle/mod.rs
+++ b/crates/simulation/src/oracle/mod.rs
@@ -78,7 +78,7 @@
     last_cut_head: FxHashMap<usize, Duration>,
     /// The period of the last hold-up of each sidecar.
     last_hold_up: FxHashMap<usize, Range<Duration>>,
-    /// When each sidecar that terminates was asked to.
+    /// When each terminating sidecar was asked to terminate.
     terminating_since: FxHashMap<usize, Duration>,
     pending_connects: PendingConnects,
     backlogs: Backlogs,
@@ -88,7 +88,7 @@
 }
 
 impl Oracle {
-    /// An oracle that has observed nothing yet.
+    /// Creates an oracle that has observed nothing yet.
     pub fn new(limits: Limits, with_timeline: bool) -> Oracle {
         Oracle {
             limits,
--- a/crates/simulation/src/run/fault_events.rs
+++ b/crates/simulation/src/run/fault_events.rs
@@ -18,7 +18,7 @@
 /// The longest time until a killed sidecar is started again, in milliseconds.
 const MAX_DOWNTIME_MS: u64 = 1000;
 /// The latency objective that a reload sets for the first class, in microseconds.
-const RELOADED_AIM_US: u64 = 140_000;
+const RELOADED_LATENCY_OBJECTIVE_US: u64 = 140_000;
 
 type BoxedFuture = Pin<Box<dyn Future<Output = ()>>>;
 
@@ -162,7 +162,7 @@
     fn reload_configuration(&mut self, sidecar: usize, valid: bool) {
         let sidecar = &self.sidecars[sidecar % self.sidecars.len()];
         let mut config: Value = serde_json::from_str(&sidecar.initial_config).unwrap_or_default();
-        config["settings"]["classes"][0]["aim"] = json!(RELOADED_AIM_US);
+        config["settings"]["classes"][0]["aim"] = json!(RELOADED_LATENCY_OBJECTIVE_US);
         let mut text = config.to_string();
         if !valid {
             text.truncate(text.len() / 2);
--- a/crates/simulation/src/scenario/discovery_faults.rs
+++ b/crates/simulation/src/scenario/discovery_faults.rs
@@ -11,8 +11,8 @@
 const SEED_MASK: u64 = 0xd15c_0fe7;
 /// The probability that an agent pushes the endpoint list.
 const PUSHED_PROBABILITY: f64 = 0.8;
-/// The longest delay of an answer. A sidecar that lost its connection asks for a change within a third of the
-/// grace period; a change that an agent had for a shorter time than this third plus the delay is not checked.
+/// The longest delay of an answer, in milliseconds. A sidecar that lost its connection asks for a change within a third
+/// of the grace period; a change that an agent had for a shorter time than this third plus the delay is not checked.
 const LONGEST_DELAY_MS: u64 = 135;
 /// The time for which discovery is slow, in milliseconds.
 const SLOW_MS: std::ops::Range<u64> = 600..3000;
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -212,9 +212,10 @@
             let first = rest.trim_start();
             assert!(first.starts_with("biased;"), "{name}:{line}: select! without biased");
         }
-        // Maps in random order may be accessed by key, but not iterated.
-        let iterated = code.contains("collections::HashMap") && !path.ends_with("config/names.rs");
-        assert!(!iterated, "{name}: a map in random order");
+        // A `HashMap` iterates in random order. Only `config/names.rs` may use one: it looks names up, or sorts them.
+        let has_random_order =
+            code.contains("collections::HashMap") && !path.ends_with("config/names.rs");
+        assert!(!has_random_order, "{name}: a map in random order");
         checked_files += 1;
     }
     assert!(checked_files > 10);
