--- a/crates/fakes/shim/faulty_calls.c
+++ b/crates/fakes/shim/faulty_calls.c
@@ -143,7 +143,7 @@
 int socket(int domain, int type, int protocol)
 {
     REAL(socket);
-    /* Listening sockets are created at startup, where a failure ends the program: they are left alone. */
+    /* Only non-blocking sockets fail: listeners are created at startup, where a failure ends the program. */
     if ((domain == AF_INET || domain == AF_INET6) && (type & SOCK_NONBLOCK) && happens(rates.socket))
         return FAIL(ENFILE, ENOBUFS);
     int made = real(domain, type, protocol);
--- a/crates/fakes/src/logserver/broken_rejection.rs
+++ b/crates/fakes/src/logserver/broken_rejection.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Form {
     /// The body is shorter than its Content-Length.
-    Cut(AfterCut),
+    Truncated(AfterTruncation),
     /// The head also says that the request may have been processed.
     Contradictory,
     /// The rejection is complete, and sent twice.
@@ -26,16 +26,16 @@
 
 /// The action of a server after a truncated rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AfterCut {
+enum AfterTruncation {
     Close,
     Reset,
     Wait,
 }
 
 const FORMS: [Form; 5] = [
-    Form::Cut(AfterCut::Close),
-    Form::Cut(AfterCut::Reset),
-    Form::Cut(AfterCut::Wait),
+    Form::Truncated(AfterTruncation::Close),
+    Form::Truncated(AfterTruncation::Reset),
+    Form::Truncated(AfterTruncation::Wait),
     Form::Contradictory,
     Form::Twice,
 ];
@@ -65,7 +65,7 @@
         socket: &mut (impl AsyncWrite + Unpin),
     ) -> Option<ConnectionEnd> {
         let rest = match self.form {
-            Form::Cut(_) => "Content-Length: 20\r\n\r\nab",
+            Form::Truncated(_) => "Content-Length: 20\r\n\r\nab",
             Form::Contradictory => "X-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
             Form::Twice => "Content-Length: 0\r\n\r\n",
         };
@@ -74,9 +74,9 @@
             return Some(ConnectionEnd::Closed);
         }
         match self.form {
-            Form::Cut(AfterCut::Close) => Some(ConnectionEnd::Closed),
-            Form::Cut(AfterCut::Reset) => Some(ConnectionEnd::Reset),
-            Form::Cut(AfterCut::Wait) => std::future::pending().await,
+            Form::Truncated(AfterTruncation::Close) => Some(ConnectionEnd::Closed),
+            Form::Truncated(AfterTruncation::Reset) => Some(ConnectionEnd::Reset),
+            Form::Truncated(AfterTruncation::Wait) => std::future::pending().await,
             Form::Contradictory => None,
             Form::Twice => {
                 tokio::time::sleep(self.second_copy).await;
--- a/crates/fakes/src/registry/faults.rs
+++ b/crates/fakes/src/registry/faults.rs
@@ -7,7 +7,7 @@
 pub struct RegistryFaults {
     /// Requests are never answered.
     pub silent: bool,
-    /// No connection is accepted. They stay in the backlog.
+    /// Connections are not accepted and stay in the backlog.
     pub accepts_nothing: bool,
     /// The time from accepting a connection to its first read.
     pub first_read_delay: Duration,
--- a/crates/fakes/src/second_answer.rs
+++ b/crates/fakes/src/second_answer.rs
@@ -14,14 +14,17 @@
 /// The form of a second response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Form {
+    /// An exact copy.
     Same,
     /// A copy with an additional header, and so of another length.
     OtherHead,
+    /// An interim response, and a copy behind it.
     BehindInterim,
-    Cut,
+    /// A copy that lacks its last bytes.
+    Truncated,
 }
 
-const FORMS: [Form; 4] = [Form::Same, Form::OtherHead, Form::BehindInterim, Form::Cut];
+const FORMS: [Form; 4] = [Form::Same, Form::OtherHead, Form::BehindInterim, Form::Truncated];
 
 /// The time at which a second response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +64,7 @@
                 [status, b"\r\nX-Copy: 1", rest].concat()
             }
             Form::BehindInterim => [b"HTTP/1.1 103 Early Hints\r\n\r\n", first].concat(),
-            Form::Cut => first[..first.len().saturating_sub(MISSING_BYTES)].to_vec(),
+            Form::Truncated => first[..first.len().saturating_sub(MISSING_BYTES)].to_vec(),
         }
     }
 }
--- a/crates/runtime/src/tokio_runtime.rs
+++ b/crates/runtime/src/tokio_runtime.rs
@@ -16,8 +16,8 @@
 
 use crate::{Listener, Runtime, TaskHandle, Tcp, Udp};
 
-/// The iterations of the event loop after which input has reached the task that waits for it: the head and body of a
-/// response pass from the task of the connection to the task that waits for the response.
+/// The number of iterations of the event loop after which input has reached the task that waits for it: the head and
+/// body of a response pass from the task of the connection to the task that waits for the response.
 const DELIVERY_ITERATIONS: usize = 3;
 
 /// The real system, accessed through tokio. Tasks are spawned on the current [`tokio::task::LocalSet`].
