--- a/crates/fault-injection/src/drain_watch/tests.rs
+++ b/crates/fault-injection/src/drain_watch/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn only_the_first_bytes_of_a_request_are_new() {
+fn only_the_first_bytes_of_a_request_count_as_a_new_request() {
     let account = Arc::new(Account::new(Vec::new()));
     let watch = DrainWatch::new(account.clone());
     let start = Instant::now();
--- a/crates/fault-injection/src/expectations.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -98,7 +98,7 @@
         }
         if verdict.observations == 0 {
             verdict.passed = false;
-            verdict.reason = Some("it was never seen".to_owned());
+            verdict.reason = Some("the metric was not observed".to_owned());
         }
         verdict
     }
@@ -153,10 +153,10 @@
             Some(ReferenceValue { value: Some(other), tolerance })
                 if (value - other).abs() > tolerance * other.abs() =>
             {
-                reason = Some(format!("{place}: {value:.3} beside {other:.3}"));
+                reason = Some(format!("{place}: {value:.3}, reference {other:.3}"));
             }
             Some(ReferenceValue { value: None, .. }) => {
-                reason = Some(format!("{place}: nothing to compare with"));
+                reason = Some(format!("{place}: the reference metric has no value"));
             }
             _ => {}
         }
--- a/crates/fault-injection/src/expectations/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -59,7 +59,7 @@
     let near = Expectation { reference, ..expectation("own.members", 3.0, 3.0) };
     let seen = near.evaluate(&samples);
     assert!(
-        !seen.passed && seen.reason.as_deref() == Some("s1 at 3.0 s: 1.000 beside 8.000"),
+        !seen.passed && seen.reason.as_deref() == Some("s1 at 3.0 s: 1.000, reference 8.000"),
         "{seen:?}"
     );
 }
--- a/crates/fault-injection/src/html_report.rs
+++ b/crates/fault-injection/src/html_report.rs
@@ -57,11 +57,11 @@
 
 fn heading(page: &mut String, scenario: &Scenario, outcome: &Outcome) {
     let name = escape(&scenario.name);
-    let held = if outcome.passed { "held" } else { "did <span class=\"bad\">not</span> hold" };
+    let result = if outcome.passed { "passed" } else { "<span class=\"bad\">failed</span>" };
     let _ = write!(
         page,
         "<title>{name}</title></head><body><h1>{name}</h1><p>{} sidecars, {} servers, {:.0} \
-         requests/s, seed {}: it {held}.</p>",
+         requests/s, seed {}: the run {result}.</p>",
         scenario.sidecar_count,
         scenario.servers_per_zone * 3,
         scenario.load.requests_per_s,
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -59,7 +59,7 @@
         Impairment { cut: true, ..Impairment::default() }
     }
 
-    /// Returns whether data arrives without loss and with a delay of at most 50 ms.
+    /// Returns whether data arrives without loss or a limit on bandwidth, and with a delay of at most 50 ms.
     pub fn is_slight(&self) -> bool {
         let passes = !self.cut && self.loss == 0.0 && self.rate == 0;
         passes && self.delay + self.jitter <= SLIGHT_DELAY
@@ -177,7 +177,8 @@
     pub corruption: Option<Corruption>,
 }
 
-/// Draws the fate of each packet in one direction of a link. The same seed and nodes give the same draws.
+/// Draws whether, when and how often each packet arrives in one direction of a link. The same seed and nodes give the
+/// same draws.
 pub struct LinkSampler {
     rng: SmallRng,
     /// The time at which the last byte sent so far has left, on the clock of the callers' `now`.
@@ -203,7 +204,7 @@
         now: Duration,
         bytes: usize,
     ) -> Vec<Delivery> {
-        // All values are drawn each time, so that the draws for a datagram do not depend on the fate of earlier ones.
+        // All values are drawn each time, so that the draws for a datagram do not depend on the loss of earlier ones.
         let [loss, duplicate, reorder, corrupt]: [f64; 4] = self.rng.random();
         let offset = self.rng.random_range(0..bytes.max(1));
         let mask = self.rng.random_range(1..=u8::MAX);
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -49,7 +49,7 @@
         [[fault]]\nwhat = \"link\"\nat_s = 1\nfor_s = 3\nfrom = [\"left\"]\nto = [\"others\"]\nlink.cut = true\n\
         [[fault]]\nwhat = \"server\"\nat_s = 9\nfor_s = 5\nof = [\"utrecht-1\"]\nhow = \"dead\"\n";
     let events_of =
-        |seed| Scenario::parse(&format!("{HEAD}{text}"), Some(seed)).expect("sound").events;
+        |seed| Scenario::parse(&format!("{HEAD}{text}"), Some(seed)).expect("valid").events;
     let written = |events: &[Event]| serde_json::to_string(events).expect("JSON");
     let events = events_of(7);
     assert_eq!(written(&events), written(&events_of(7)));
--- a/crates/fault-injection/tests/soak.rs
+++ b/crates/fault-injection/tests/soak.rs
@@ -5,7 +5,7 @@
 use fault_injection::soak::{Findings, SoakSize, draw, run};
 use fault_injection::testbed::Programs;
 
-/// Small enough to run on two cores in parallel with other tests.
+/// A size that two cores can run in parallel with other tests.
 const SIZE: SoakSize = SoakSize { sidecars: 6, duration: Duration::from_secs(24) };
 /// The plan of this seed has shutdowns under load, kills, discovery that stops answering (on open connections and
 /// completely), servers that drain or are removed soon after others, impaired links and hold-ups, most of them at the
