--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -49,7 +49,8 @@
 /// The outcome of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Whether every expectation held, there was no violation, and no sidecar exited unexpectedly.
+    /// Whether every expectation held, requests were served without any violation, and no sidecar exited unexpectedly
+    /// or took too long to shut down.
     #[serde(rename = "held")]
     pub passed: bool,
     /// The results of the expectations, in the order of the file.
@@ -114,8 +115,8 @@
     let verdicts: Vec<Verdict> =
         scenario.expectations.iter().map(|expectation| expectation.evaluate(&samples)).collect();
     let problems = testbed.problems().to_vec();
-    let sound = account.violations() == 0 && account.served() > 0 && problems.is_empty();
-    let passed = sound && verdicts.iter().all(|verdict| verdict.passed);
+    let without_problems = account.violations() == 0 && account.served() > 0 && problems.is_empty();
+    let passed = without_problems && verdicts.iter().all(|verdict| verdict.passed);
     let outcome = Outcome { passed, verdicts, account, problems, samples };
     observe(&Progress::Finished(&outcome));
     Ok(LoggedRun { outcome, logged_violations: testbed.logged_violations() })
--- a/crates/fault-injection/src/soak/tests.rs
+++ b/crates/fault-injection/src/soak/tests.rs
@@ -117,8 +117,8 @@
 fn every_failed_check_is_a_finding() {
     let scenario = draw(1, SIZE);
     let recovered = || vec![sample(32.0, 100, 0), sample(36.0, 200, 5)];
-    let sound = outcome(recovered(), Report::default());
-    assert_eq!(check_outcome(&scenario, &sound, Vec::new()), Findings::default());
+    let passing = outcome(recovered(), Report::default());
+    assert_eq!(check_outcome(&scenario, &passing, Vec::new()), Findings::default());
     let lost = Report { lost: 1, examples: vec!["x".to_owned()], ..Report::default() };
     let findings = check_outcome(&scenario, &outcome(recovered(), lost), Vec::new());
     assert_eq!(findings.0, ["1 violations in the account of all requests", "1 lost", "x"]);
@@ -127,10 +127,11 @@
     let retried = vec![sample(32.0, 100, 20), sample(36.0, 200, 5)];
     let served_in_the_end = outcome(retried, Report::default());
     assert_eq!(check_outcome(&scenario, &served_in_the_end, Vec::new()), Findings::default());
-    let crashed = Outcome { problems: vec!["s1 has ended by itself".to_owned()], ..sound.clone() };
+    let crashed =
+        Outcome { problems: vec!["s1 has ended by itself".to_owned()], ..passing.clone() };
     assert_eq!(check_outcome(&scenario, &crashed, Vec::new()).0.len(), 1);
     assert_eq!(
-        check_outcome(&scenario, &sound, vec!["s1: protocol rule violated".to_owned()]).0.len(),
+        check_outcome(&scenario, &passing, vec!["s1: protocol rule violated".to_owned()]).0.len(),
         1
     );
 }
--- a/crates/fault-injection/tests/compatibility.rs
+++ b/crates/fault-injection/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! Guards the formats of trial files, plans and journals: files of earlier versions must still be read, and the plan
-//! and the journal must keep their form.
+//! and the journal must keep their format.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn plan_is_written_in_its_form() {
+fn plan_is_written_in_the_stored_format() {
     let events = serde_json::to_value(parsed(EVERY_KEY).events).expect("JSON");
     let wanted: Value = serde_json::from_str(PLAN).expect("JSON");
     assert_eq!(events, wanted);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn journal_lines_of_a_running_scenario_are_written_in_their_form() {
+fn journal_lines_of_a_running_scenario_are_written_in_the_stored_format() {
     let scenario = parsed(FORMER_KEYS);
     let begins = written(&Progress::Started {
         name: &scenario.name,
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn journal_line_of_an_outcome_is_written_in_its_form() {
+fn journal_line_of_an_outcome_is_written_in_the_stored_format() {
     let verdict = Verdict {
         line: 28,
         metric: "Broken".to_owned(),
--- a/crates/simnet/src/network.rs
+++ b/crates/simnet/src/network.rs
@@ -58,7 +58,7 @@
 #[derive(Default)]
 pub(crate) struct Network {
     pub(crate) hosts: Vec<Host>,
-    /// The number of hosts that are held up. Counted, because it is read before each step.
+    /// The number of hosts that are held up. Kept as a counter, because it is read before each step.
     held_up_hosts: usize,
     pub(crate) connections: FxHashMap<ConnectionId, Connection>,
     last_connection: u64,
@@ -141,6 +141,7 @@
         }
     }
 
+    /// Closes the listeners and the UDP sockets of a host.
     pub(crate) fn close_listeners(&mut self, host: HostId) {
         self.listeners.retain(|_, listener| listener.host != host);
         self.udp_sockets.retain(|_, socket| socket.host != host);
