--- a/tests/size.rs
+++ b/tests/size.rs
@@ -100,7 +100,7 @@
     assert_eq!(statistic(&sidecar, "pool_size"), 4096);
 }
 
-/// The room is made by changes of the list, which name none of the servers that were passed over.
+/// List changes that remove servers make room for a server that was passed over, although they do not name it.
 #[test]
 fn server_passed_over_is_taken_up_once_others_are_gone() {
     let (server, passed_over) = (Server::echo(), Server::echo());
@@ -167,7 +167,7 @@
     };
     assert_eq!(tier(4800, 32), (true, String::new()));
     let (valid, why) = tier(4800, 16);
-    assert!(!valid && why.contains("settings.instances: 4096 at most expected"), "{why}");
+    assert!(!valid && why.contains("settings.instances: must be at most 4096 with"), "{why}");
 }
 
 #[test]
@@ -181,5 +181,5 @@
     };
     assert_eq!(known(32), (true, String::new()));
     let (valid, why) = known(16);
-    assert!(!valid && why.contains("known.hosts: 4096 at most expected"), "{why}");
+    assert!(!valid && why.contains("known.hosts: must have at most 4096 entries with"), "{why}");
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -302,9 +302,9 @@
 }
 
 /// Guards against non-idempotent requests sent for a client that has disconnected: the end of its connection lies
-/// behind a request body that is not being read, for lack of memory.
+/// behind a request body that is not being read, here for lack of memory.
 #[test]
-fn client_that_leaves_behind_an_unread_body_is_disconnected() {
+fn client_that_disconnects_after_an_unread_body_is_detected() {
     let server = Server::echo();
     let sidecar = Sidecar::start_with(discovery(&[&server]), |config| {
         config["limits"]["memory_mb"] = 16.into();
@@ -441,7 +441,7 @@
 fn idle_connections_are_evicted_early_among_many() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    // Of 64 sockets, 20 are for clients. The test has five rounds, since a hold-up of a second fails a round.
+    // Of 64 sockets, 14 are for clients. The test has five rounds, since a hold-up of a second fails a round.
     let closed_early = (0..5).any(|round| {
         let mut held: Vec<TcpStream> = Vec::new();
         let start = Instant::now();
