--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::Duration;
 
-use net::{Entry, Folder, PATIENCE, Server, Sidecar, discovery, look, until};
+use net::{Entry, Folder, PATIENCE, Server, Sidecar, discovery, get_request, until};
 use serde_json::Value;
 use socket2::SockRef;
 
@@ -49,7 +49,7 @@
 /// Sends a request for each number and checks that it is served.
 fn send_requests(sidecar: &Sidecar, numbers: std::ops::Range<usize>, round: &str) {
     for n in numbers {
-        let answer = sidecar.exchange(&look(&format!("{round}-{n}")));
+        let answer = sidecar.exchange(&get_request(&format!("{round}-{n}")));
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
 }
@@ -145,7 +145,7 @@
     let sidecar = Sidecar::start_with(discovery(&[&server]), with_admin);
     let admin = sidecar.admin();
     let mut idle = sidecar.connect();
-    idle.write_all(look("a").as_bytes()).expect("written");
+    idle.write_all(get_request("a").as_bytes()).expect("written");
     let mut buf = [0; 1024];
     assert!(idle.read(&mut buf).expect("a response") > 0);
     assert_eq!(call(admin, "drain\n"), "done\n");
@@ -157,11 +157,11 @@
         0,
         "an idle client is closed"
     );
-    let late = sidecar.exchange(&look("b"));
+    let late = sidecar.exchange(&get_request("b"));
     assert!(late.starts_with("HTTP/1.1 200") && late.contains("close"), "{late}");
     assert_eq!(call(admin, "resume\n"), "done\n");
     assert!(ready().starts_with("HTTP/1.1 200"));
-    assert!(!sidecar.exchange(&look("c")).contains("close"));
+    assert!(!sidecar.exchange(&get_request("c")).contains("close"));
 }
 
 /// A command that runs the program with this listener as descriptor 5, as the platform passes it. `folder` is its
@@ -196,7 +196,9 @@
             while !stop.load(Ordering::SeqCst) {
                 let mut socket = TcpStream::connect(at).expect("never refused");
                 socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
-                socket.write_all(look(&format!("load-{served}")).as_bytes()).expect("written");
+                socket
+                    .write_all(get_request(&format!("load-{served}")).as_bytes())
+                    .expect("written");
                 let answer = net::first_answer(socket);
                 assert!(answer.starts_with("HTTP/1.1 200"), "request {served}: {answer:?}");
                 served += 1;
@@ -223,7 +225,7 @@
 /// Tests of bodies that are longer than the buffers.
 mod large_bodies {
     use super::*;
-    use net::{first_answer, order};
+    use net::{first_answer, order_request};
 
     /// The length of a long body, in bytes.
     const LONG: usize = 3 << 20;
@@ -304,7 +306,7 @@
         until("the request is over", || {
             statistic(&call(sidecar.admin(), "show-stat\n"), "active") == 0
         });
-        let answer = sidecar.exchange(&order("next"));
+        let answer = sidecar.exchange(&order_request("next"));
         assert!(answer.ends_with("\r\n\r\n2"), "{answer}");
         assert_eq!(
             *bodies.lock().expect("no panic"),
@@ -356,7 +358,7 @@
         });
         let sidecar = Sidecar::start(discovery(&[&server]));
         let mut socket = sidecar.connect();
-        socket.write_all(order("long").as_bytes()).expect("written");
+        socket.write_all(order_request("long").as_bytes()).expect("written");
         let mut first = vec![0; LONG / 4];
         socket
             .read_exact(&mut first)
@@ -365,7 +367,7 @@
         let (first, all) = (first.len(), net::read_to_end(socket));
         assert!(first + all.len() > LONG && all.ends_with("yy"));
         let mut socket = sidecar.connect();
-        socket.write_all(order("broken").as_bytes()).expect("written");
+        socket.write_all(order_request("broken").as_bytes()).expect("written");
         assert!(
             net::read_to_end(socket).len() < LONG,
             "an aborted response is shorter than its content length"
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -234,7 +234,7 @@
         let mut n = 0;
         until("a request reaches the server", || {
             n += 1;
-            self.exchange(&look(&format!("to{n}")).replace("Ms: 20000", "Ms: 200"));
+            self.exchange(&get_request(&format!("to{n}")).replace("Ms: 20000", "Ms: 200"));
             !server.seen().is_empty()
         });
     }
@@ -300,12 +300,12 @@
 }
 
 /// A request of class `look`, which is idempotent.
-pub fn look(id: &str) -> String {
+pub fn get_request(id: &str) -> String {
     format!("GET /look/1 HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: 20000\r\n\r\n")
 }
 
 /// A request of class `order`, which is not idempotent.
-pub fn order(id: &str) -> String {
+pub fn order_request(id: &str) -> String {
     format!(
         "POST /order/1 HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: 20000\r\n\
          Content-Length: 2\r\n\r\nab"
@@ -313,7 +313,7 @@
 }
 
 /// A request of class `keep`, with an idempotency key that the servers of a zone deduplicate.
-pub fn keep(id: &str) -> String {
+pub fn keyed_request(id: &str) -> String {
     format!(
         "POST /keep/1 HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: 20000\r\n\
          Idempotency-Key: key-{id}\r\nContent-Length: 2\r\n\r\nab"
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -22,7 +22,7 @@
 use lb_sidecar::sidecar::admin::statistics::{ClassCounts, Statistics, TierStatistics};
 use lb_sidecar::sidecar::config::Config;
 use lb_sidecar::sidecar::status::ReloadCounts;
-use net::{Folder, PATIENCE, Server, Sidecar, discovery, look};
+use net::{Folder, PATIENCE, Server, Sidecar, discovery, get_request};
 use runtime::TokioRuntime;
 use serde_json::{Value, json};
 
@@ -156,7 +156,7 @@
     let server = Server::echo();
     let sidecar = Sidecar::start_with(discovery(&[&server]), with_admin);
     for n in 0..7 {
-        assert!(sidecar.exchange(&look(&format!("a-{n}"))).starts_with("HTTP/1.1 200"));
+        assert!(sidecar.exchange(&get_request(&format!("a-{n}"))).starts_with("HTTP/1.1 200"));
     }
     let name = format!("s-{}", server.at.port());
     let mut answers = String::new();
@@ -184,7 +184,7 @@
 fn health_version_is_as_before() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    assert!(sidecar.exchange(&look("a")).starts_with("HTTP/1.1 200"));
+    assert!(sidecar.exchange(&get_request("a")).starts_with("HTTP/1.1 200"));
     let expected: Value = serde_json::from_str(&text("health-version.json")).expect("JSON");
     let mut status_json = sidecar.state();
     assert_eq!(status_json["pid"], sidecar.pid());
--- a/tests/lifecycle/connecting.rs
+++ b/tests/lifecycle/connecting.rs
@@ -80,15 +80,15 @@
     let registry = discovery_at(unaccepting.at);
     let sidecar = Sidecar::start_with(registry.clone(), slow_to_connect);
     let mut open = sidecar.connect();
-    open.write_all(order("open").as_bytes()).expect("sent");
+    open.write_all(order_request("open").as_bytes()).expect("sent");
     until("the connection is requested", || unaccepting.pending_connections() == 1);
     registry.set_health(&Entry::new(unaccepting.at, "a").host, "leaving");
     registry.update(Entry::new(healthy.at, "a"));
     let mut n = 0;
     until("the list is known", || {
         n += 1;
-        let look = look(&format!("look{n}")).replace("Ms: 20000", "Ms: 500");
-        sidecar.exchange(&look).contains("200 OK")
+        let request = get_request(&format!("look{n}")).replace("Ms: 20000", "Ms: 500");
+        sidecar.exchange(&request).contains("200 OK")
     });
     unaccepting.start_accepting();
     let answer = first_answer(open);
@@ -106,7 +106,7 @@
     let registry = discovery_at(old.at);
     let sidecar = Sidecar::start_with(registry.clone(), slow_to_connect);
     let mut open = sidecar.connect();
-    open.write_all(order("open").as_bytes()).expect("sent");
+    open.write_all(order_request("open").as_bytes()).expect("sent");
     until("the connection is requested", || old.pending_connections() == 1);
     let moved = Entry { dial: new.at, born_ms: 1, ..Entry::new(old.at, "a") };
     registry.update(moved);
@@ -136,12 +136,12 @@
     let listener = listener_with_queue_of_one();
     let at = listener.local_addr().expect("bound");
     let sidecar = Sidecar::start_with(discovery_at(at), slow_to_connect);
-    let keep = |id: &str| {
+    let request_with_key = |id: &str| {
         let key = format!("Idempotency-Key: {id}\r\nContent-Length");
-        order(id).replace("/order/", "/keep/").replace("Content-Length", &key)
+        order_request(id).replace("/order/", "/keep/").replace("Content-Length", &key)
     };
     let mut first = sidecar.connect();
-    first.write_all(keep("first").as_bytes()).expect("sent");
+    first.write_all(request_with_key("first").as_bytes()).expect("sent");
     let (mut idle, _) = listener.accept().expect("the sidecar connects");
     let mut read = BufReader::new(idle.try_clone().expect("a second handle"));
     read_message(&mut read).expect("the first");
@@ -150,7 +150,7 @@
     let mut unaccepting = UnacceptingServer::of(listener);
     thread::sleep(CONNECTION_IDLE_TIME);
     let mut second = sidecar.connect();
-    second.write_all(keep("second").as_bytes()).expect("sent");
+    second.write_all(request_with_key("second").as_bytes()).expect("sent");
     read_message(&mut read).expect("the second");
     drop((read, idle));
     second.set_nonblocking(true).expect("set");
@@ -182,7 +182,7 @@
 /// Disconnects a client. Returns its socket if it only closes its sending side.
 fn disconnect(how: &str, mut socket: TcpStream) -> Option<TcpStream> {
     match how {
-        "next request" => drop(socket.write_all(look("behind").as_bytes())),
+        "next request" => drop(socket.write_all(get_request("behind").as_bytes())),
         "noise" | "noise and half" => drop(socket.write_all(b"\r\n\0noise")),
         _ => {}
     }
@@ -203,7 +203,7 @@
 
 /// Returns an order whose body is too long to be buffered.
 fn long_order(id: &str) -> String {
-    order(id).replace("Length: 2", "Length: 100000").replace("ab", &"x".repeat(100_000))
+    order_request(id).replace("Length: 2", "Length: 100000").replace("ab", &"x".repeat(100_000))
 }
 
 /// Asserts for each way to disconnect and each kind of request that nothing is sent once the connection is established.
@@ -218,8 +218,8 @@
         config["limits"]["sockets"] = 256.into();
     });
     let kinds = [
-        ("look", look as RequestText),
-        ("order", order),
+        ("look", get_request as RequestText),
+        ("order", order_request),
         ("odd chunks", nonstandard_chunks),
         ("long", long_order),
     ];
@@ -250,7 +250,7 @@
     println!("all disconnects are detected after {detected_after:?}");
     assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
     let mut last = sidecar.connect();
-    last.write_all(order("last").as_bytes()).expect("sent");
+    last.write_all(order_request("last").as_bytes()).expect("sent");
     until("the last connection is requested", || unaccepting.pending_connections() >= 1);
     unaccepting.start_accepting();
     let answer = first_answer(last);
@@ -284,7 +284,7 @@
         (0..limit).map(|n| blocked.receives_order(&sidecar, &format!("admitted{n}"))).collect();
     let mut left = Vec::new();
     for how in DISCONNECTS {
-        for (kind, text) in [("look", look as RequestText), ("order", order)] {
+        for (kind, text) in [("look", get_request as RequestText), ("order", order_request)] {
             let id = format!("{kind} {how}").replace(' ', "-");
             let mut socket = sidecar.connect();
             socket.write_all(text(&id).as_bytes()).expect("sent");
@@ -292,7 +292,7 @@
         }
     }
     let mut last = sidecar.connect();
-    last.write_all(order("last").as_bytes()).expect("sent");
+    last.write_all(order_request("last").as_bytes()).expect("sent");
     blocked.release();
     for (n, socket) in admitted.into_iter().enumerate() {
         assert!(first_answer(socket).ends_with(&format!("\r\n\r\nadmitted{n}")));
--- a/tests/lifecycle/discovery.rs
+++ b/tests/lifecycle/discovery.rs
@@ -75,7 +75,7 @@
     let took = calls[7].0 - calls[0].0;
     assert!(took < Duration::from_secs(4), "eight calls took {took:?}");
     assert!(
-        sidecar.exchange(&look("a")).ends_with("\r\n\r\na"),
+        sidecar.exchange(&get_request("a")).ends_with("\r\n\r\na"),
         "the known servers are still used"
     );
 }
@@ -129,7 +129,7 @@
     while faulty.calls().len() < 29 {
         n += 1;
         let id = format!("look{n}");
-        assert!(sidecar.exchange(&look(&id)).ends_with(&format!("\r\n\r\n{id}")));
+        assert!(sidecar.exchange(&get_request(&id)).ends_with(&format!("\r\n\r\n{id}")));
         assert!(n < 20_000, "the agent is no longer called: {:?}", faulty.calls().len());
     }
     sidecar.wait_until_reaches(&new);
@@ -222,7 +222,7 @@
     let before = server.seen().len();
     for n in 0..50 {
         let id = format!("order{n}");
-        assert!(sidecar.exchange(&order(&id)).ends_with(&format!("\r\n\r\n{id}")));
+        assert!(sidecar.exchange(&order_request(&id)).ends_with(&format!("\r\n\r\n{id}")));
     }
     assert_eq!(server.seen().len(), before, "the server received new requests");
 }
@@ -360,7 +360,7 @@
     agent.set_as_discovery_of(&sidecar);
     let mut received = first.seen().len();
     for n in 0.. {
-        sidecar.exchange(&look(&format!("look{n}")));
+        sidecar.exchange(&get_request(&format!("look{n}")));
         match duplicating.duplicated_at() {
             None => received = first.seen().len(),
             Some(at) if at.elapsed() > Duration::from_millis(300) => break,
@@ -407,7 +407,7 @@
     *changed_at.lock().expect("no panic") = Some(changed);
     let mut received = 0;
     for n in 0.. {
-        sidecar.exchange(&look(&format!("look{n}")));
+        sidecar.exchange(&get_request(&format!("look{n}")));
         match changed.elapsed() {
             elapsed if elapsed <= Duration::from_millis(550) => received = first.seen().len(),
             elapsed if elapsed > Duration::from_millis(1500) => break,
@@ -439,7 +439,7 @@
     agent.set_as_discovery_of(&sidecar);
     sidecar.wait_until_reaches(&second);
     let requests = |name: &str| {
-        (0..20).for_each(|n| drop(sidecar.exchange(&look(&format!("{name}{n}")))));
+        (0..20).for_each(|n| drop(sidecar.exchange(&get_request(&format!("{name}{n}")))));
         first.seen().len()
     };
     let before = first.seen().len();
--- a/tests/lifecycle/draining.rs
+++ b/tests/lifecycle/draining.rs
@@ -123,7 +123,8 @@
                     let id = format!("look{}", next.fetch_add(1, Ordering::Relaxed));
                     let mut socket = std::net::TcpStream::connect(sidecar).expect("connected");
                     socket.set_read_timeout(Some(PATIENCE)).expect("a time");
-                    std::io::Write::write_all(&mut socket, look(&id).as_bytes()).expect("sent");
+                    std::io::Write::write_all(&mut socket, get_request(&id).as_bytes())
+                        .expect("sent");
                     assert!(first_answer(socket).ends_with(&id), "{id} is served");
                     thread::sleep(REQUEST_INTERVAL);
                 }
--- a/tests/lifecycle/idle_close.rs
+++ b/tests/lifecycle/idle_close.rs
@@ -17,7 +17,7 @@
 fn idle_clients(sidecar: &Sidecar, round: usize) -> Vec<TcpStream> {
     let mut clients: Vec<TcpStream> = (0..CONNECTIONS).map(|_| sidecar.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(look(&format!("first-{round}-{n}")).as_bytes()).expect("sent");
+        client.write_all(get_request(&format!("first-{round}-{n}")).as_bytes()).expect("sent");
     }
     for (n, client) in clients.iter().enumerate() {
         let answer = first_answer(client.try_clone().expect("a second handle"));
@@ -39,7 +39,7 @@
         sidecar.signal("STOP");
         let _newcomer = sidecar.connect();
         for (n, client) in clients.iter_mut().enumerate() {
-            client.write_all(look(&format!("second-{round}-{n}")).as_bytes()).expect("sent");
+            client.write_all(get_request(&format!("second-{round}-{n}")).as_bytes()).expect("sent");
         }
         sidecar.signal("CONT");
         for (n, client) in clients.into_iter().enumerate() {
@@ -70,7 +70,7 @@
         let mut sent = Vec::new();
         for (n, (connected, client)) in clients.iter_mut().enumerate() {
             let id = format!("new-{round}-{n}");
-            let written = client.write_all(look(&id).as_bytes());
+            let written = client.write_all(get_request(&id).as_bytes());
             if connected.elapsed() < KEPT_UNUSED {
                 sent_at_once += 1;
                 sent.push((n, id, written.is_ok()));
--- a/tests/lifecycle/rejections.rs
+++ b/tests/lifecycle/rejections.rs
@@ -161,7 +161,7 @@
     fn exchange(&self, request: &str, id: &str, reuse: bool) -> (String, Vec<usize>) {
         if reuse {
             for n in 0..4 {
-                self.sidecar.exchange(&look(&format!("warm{n}")));
+                self.sidecar.exchange(&get_request(&format!("warm{n}")));
             }
             // Waits until the quiet period of the connections is over.
             thread::sleep(Duration::from_millis(60));
@@ -174,14 +174,14 @@
 
 /// Returns an order without a body.
 fn empty_order(id: &str) -> String {
-    order(id).replace("Content-Length: 2\r\n\r\nab", "Content-Length: 0\r\n\r\n")
+    order_request(id).replace("Content-Length: 2\r\n\r\nab", "Content-Length: 0\r\n\r\n")
 }
 
 /// Returns an order whose body is too long to be buffered.
 fn long_order(id: &str) -> String {
     let body = "x".repeat(200 << 10);
     let length = format!("Content-Length: {}\r\n\r\n{body}", body.len());
-    order(id).replace("Content-Length: 2\r\n\r\nab", &length)
+    order_request(id).replace("Content-Length: 2\r\n\r\nab", &length)
 }
 
 /// Runs `check` for each response and returns its findings. Each response gets its own sidecar, as servers that fail
@@ -219,8 +219,9 @@
 
 #[test]
 fn order_whose_rejection_is_truncated_is_neither_sent_again_nor_rejected() {
-    let found =
-        check_each(truncated_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
+    let found = check_each(truncated_rejections(), |rejecting| {
+        unsafe_repeat(&rejecting, order_request, false)
+    });
     assert!(found.is_empty(), "{found:#?}");
 }
 
@@ -242,8 +243,9 @@
 
 #[test]
 fn order_whose_rejection_contradicts_itself_is_neither_sent_again_nor_rejected() {
-    let found =
-        check_each(ambiguous_rejections(), |rejecting| unsafe_repeat(&rejecting, order, false));
+    let found = check_each(ambiguous_rejections(), |rejecting| {
+        unsafe_repeat(&rejecting, order_request, false)
+    });
     assert!(found.is_empty(), "{found:#?}");
 }
 
@@ -251,7 +253,7 @@
 fn order_that_is_rejected_in_a_complete_answer_is_served_elsewhere() {
     for reuse in [false, true] {
         let found = check_each(complete_rejections(), |rejecting| {
-            let (answer, copies) = rejecting.exchange(&order(ID), ID, reuse);
+            let (answer, copies) = rejecting.exchange(&order_request(ID), ID, reuse);
             let is_served = answer.ends_with(ID) && copies.len() == 2;
             (!is_served).then(|| format!("{answer:?}, copies at {copies:?}"))
         });
@@ -262,7 +264,7 @@
 #[test]
 fn safe_request_whose_rejection_is_truncated_is_served_elsewhere() {
     let found = check_each(truncated_rejections(), |rejecting| {
-        let (answer, copies) = rejecting.exchange(&look(ID), ID, false);
+        let (answer, copies) = rejecting.exchange(&get_request(ID), ID, false);
         (!answer.ends_with(ID)).then(|| format!("{answer:?}, copies at {copies:?}"))
     });
     assert!(found.is_empty(), "{found:#?}");
@@ -273,7 +275,7 @@
     let responses =
         [truncated_rejections(), ambiguous_rejections()].into_iter().flatten().collect();
     let found = check_each(responses, |rejecting| {
-        let (answer, copies) = rejecting.exchange(&keep(ID), ID, false);
+        let (answer, copies) = rejecting.exchange(&keyed_request(ID), ID, false);
         let first = copies.first().copied();
         let stays = first.is_some() && copies.iter().all(|&server| Some(server) == first);
         (!stays || is_rejected(&answer)).then(|| format!("{answer:?}, copies at {copies:?}"))
@@ -298,7 +300,7 @@
         config["settings"]["classes"][1]["aim"] = (GAP_MS * 1000).into();
     });
     let started = Instant::now();
-    let answer = sidecar.exchange(&order("short").replace("Ms: 20000", "Ms: 700"));
+    let answer = sidecar.exchange(&order_request("short").replace("Ms: 20000", "Ms: 700"));
     let took = started.elapsed();
     assert!(answer.starts_with("HTTP/1.1 50") && !is_rejected(&answer), "{answer:?}");
     assert!(took < Duration::from_millis(850), "{took:?}");
@@ -320,7 +322,7 @@
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
     let mut client = sidecar.connect();
-    client.write_all(order("left").as_bytes()).expect("sent");
+    client.write_all(order_request("left").as_bytes()).expect("sent");
     until("the request arrives", || server.seen().len() == 1);
     thread::sleep(Duration::from_millis(50));
     let left = Instant::now();
@@ -352,8 +354,8 @@
     let mut followed = 0;
     for n in 0..30 {
         let (first, second) = (format!("rejected{n}"), format!("order{n}"));
-        sidecar.exchange(&order(&first));
-        let answer = sidecar.exchange(&order(&second));
+        sidecar.exchange(&order_request(&first));
+        let answer = sidecar.exchange(&order_request(&second));
         let executed = server.seen().contains(&second);
         followed += usize::from(executed);
         assert!(!executed || !is_rejected(&answer), "{second}: executed, and {answer:?}");
@@ -399,7 +401,8 @@
     let length = format!("Content-Length: {LENGTH}\r\n\r\n");
     let mut rejected = 0;
     for n in 0..40 {
-        let head = order(&format!("upload{n}")).replace("Content-Length: 2\r\n\r\nab", &length);
+        let head =
+            order_request(&format!("upload{n}")).replace("Content-Length: 2\r\n\r\nab", &length);
         let mut client = sidecar.connect();
         client.write_all(head.as_bytes()).expect("sent");
         client.write_all(&vec![b'x'; LENGTH - 1]).expect("sent");
--- a/tests/lifecycle/reload.rs
+++ b/tests/lifecycle/reload.rs
@@ -47,12 +47,12 @@
     until("the new list is applied", || {
         n += 1;
         // The request names no tenant, because the old settings have none.
-        let answer = sidecar.exchange(&look(&format!("look{n}")));
+        let answer = sidecar.exchange(&get_request(&format!("look{n}")));
         assert!(answer.contains("200 OK"), "{answer:?}");
         !new.seen().is_empty()
     });
-    assert!(sidecar.exchange(&order("order")).ends_with("\r\n\r\norder"));
-    let quote = order("quote").replace("/order/", "/quote/");
+    assert!(sidecar.exchange(&order_request("order")).ends_with("\r\n\r\norder"));
+    let quote = order_request("quote").replace("/order/", "/quote/");
     assert!(sidecar.exchange(&quote).starts_with("HTTP/1.1 404"));
 }
 
@@ -65,7 +65,7 @@
     });
     for n in 0..20 {
         let id = format!("order{n}");
-        assert!(sidecar.exchange(&order(&id)).ends_with(&format!("\r\n\r\n{id}")));
+        assert!(sidecar.exchange(&order_request(&id)).ends_with(&format!("\r\n\r\n{id}")));
     }
     assert_eq!((removed.seen().len(), listed.seen().len()), (0, 20));
 }
@@ -106,7 +106,7 @@
     registry.update(Entry::new(other.at, "a"));
     let mut answers = Vec::new();
     for n in 0..40 {
-        let request = look(&format!("look-{n}")).replace("Ms: 20000", "Ms: 2000");
+        let request = get_request(&format!("look-{n}")).replace("Ms: 20000", "Ms: 2000");
         answers.push(sidecar.exchange(&request).contains("200 OK"));
     }
     assert!(!other.seen().is_empty(), "the new server gets its share");
--- a/tests/lifecycle/resting_connections.rs
+++ b/tests/lifecycle/resting_connections.rs
@@ -35,7 +35,7 @@
 /// Sends one request on each connection and reads the responses.
 fn use_once(clients: &mut [TcpStream]) {
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(look(&format!("first-{n}")).as_bytes()).expect("sent");
+        client.write_all(get_request(&format!("first-{n}")).as_bytes()).expect("sent");
     }
     for (n, client) in clients.iter().enumerate() {
         let answer = first_answer(client.try_clone().expect("a second handle"));
@@ -101,7 +101,7 @@
 /// Sends a second request on a connection, and returns its id and the connection.
 fn send_second((n, mut client): (usize, TcpStream)) -> (String, TcpStream) {
     let id = format!("second-{n}");
-    client.write_all(look(&id).as_bytes()).expect("sent");
+    client.write_all(get_request(&id).as_bytes()).expect("sent");
     (id, client)
 }
 
@@ -155,7 +155,7 @@
 fn request_completed_as_its_time_runs_out_is_served() {
     let echo = Server::echo();
     let sidecar = start(&echo);
-    let complete = order("pieces");
+    let complete = order_request("pieces");
     let (first, second) = complete.split_at(complete.len() - 1);
     let answer = retry_until_in_time(|| {
         let (timeouts, client) = timeout_range(|| connect_and_send(&sidecar, first));
@@ -187,7 +187,7 @@
 fn partial_request_whose_connection_is_evicted_is_answered() {
     let echo = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&echo]));
-    let half = &order("half")[..40];
+    let half = &order_request("half")[..40];
     // More connections than the connection budget allows.
     let clients: Vec<TcpStream> = (0..CONNECTIONS)
         .map(|_| {
@@ -208,13 +208,13 @@
 /// been closed, or may have been closed while the request was sent.
 fn answer_at_the_end(sidecar: &Sidecar, n: usize, after: Duration) -> Option<String> {
     let mut client = sidecar.connect();
-    client.write_all(look(&format!("first-{n}")).as_bytes()).expect("sent");
+    client.write_all(get_request(&format!("first-{n}")).as_bytes()).expect("sent");
     let first = first_answer(client.try_clone().expect("a second handle"));
     assert!(first.ends_with(&format!("first-{n}")), "{first:?}");
     thread::sleep(IDLE_TIMEOUT + after);
     let checked_at = Instant::now();
     let is_sent = !has_ended(&client)
-        && client.write_all(look(&format!("second-{n}")).as_bytes()).is_ok()
+        && client.write_all(get_request(&format!("second-{n}")).as_bytes()).is_ok()
         && checked_at.elapsed() < CROSSING_TIME;
     is_sent.then(|| first_answer(client))
 }
--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -217,9 +217,9 @@
 impl Class {
     fn request(self, id: &str) -> String {
         match self {
-            Class::Look => look(id),
-            Class::Order => order(id),
-            Class::Keep => keep(id),
+            Class::Look => get_request(id),
+            Class::Order => order_request(id),
+            Class::Keep => keyed_request(id),
         }
     }
 }
@@ -407,7 +407,7 @@
         [Class::Look, Class::Keep, Class::Order].into_iter().cycle().take(9).enumerate()
     {
         let (first, second) = (format!("first-{n}"), format!("second-{n}"));
-        assert!(sidecar.exchange(&look(&first)).ends_with(&first));
+        assert!(sidecar.exchange(&get_request(&first)).ends_with(&first));
         let hold_up = HoldUp::begin(&sidecar);
         let mut client = sidecar.connect();
         client.write_all(class.request(&second).as_bytes()).expect("sent");
@@ -517,10 +517,10 @@
     });
     let sidecar = Sidecar::start(Registry::start(entries.collect()));
     for n in 0..4 {
-        sidecar.exchange(&look(&format!("warm{n}")));
+        sidecar.exchange(&get_request(&format!("warm{n}")));
     }
     thread::sleep(HOLD_UP);
-    let answer = sidecar.exchange(&order("order"));
+    let answer = sidecar.exchange(&order_request("order"));
     assert!(answer.ends_with("order"), "{answer:?}");
 }
 
@@ -564,11 +564,11 @@
 fn assert_copy_answers_no_request(first: String, repeat_at: usize) {
     let server = Entry::new(server_repeating_first_answer(first, repeat_at), "a");
     let sidecar = Sidecar::start(Registry::start(vec![server]));
-    sidecar.exchange(&look("first"));
+    sidecar.exchange(&get_request("first"));
     for n in 1..=repeat_at {
         thread::sleep(PAUSE);
         let id = format!("look{n}");
-        let answer = sidecar.exchange(&look(&id));
+        let answer = sidecar.exchange(&get_request(&id));
         assert!(
             answer.ends_with(&format!("\r\n\r\n{id}")),
             "{id}: {:?}",
@@ -611,7 +611,7 @@
     });
     let sidecar = Sidecar::start(Registry::start(vec![Entry::new(at, "a")]));
     for id in ["rejected", "second", "third"] {
-        let answer = sidecar.exchange(&look(id));
+        let answer = sidecar.exchange(&get_request(id));
         let is_own = answer.ends_with(&format!("\r\n\r\n{id}"));
         assert!(is_own || !answer.starts_with("HTTP/1.1 200"), "{id}: {answer:?}");
         thread::sleep(PAUSE);
@@ -630,7 +630,7 @@
     });
     let registry = discovery(&[&server]);
     let sidecar = Sidecar::start(registry.clone());
-    assert!(sidecar.exchange(&look("first")).ends_with("first"));
+    assert!(sidecar.exchange(&get_request("first")).ends_with("first"));
     thread::sleep(PAUSE);
     let hold_up = HoldUp::begin(&sidecar);
     registry.set_health(&format!("s-{}", server.at.port()), "leaving");
--- a/tests/lifecycle/server_answers.rs
+++ b/tests/lifecycle/server_answers.rs
@@ -17,7 +17,8 @@
     let sidecar = Sidecar::start(discovery(&[&blocked.server]));
     let mut client = sidecar.connect();
     let due = Instant::now() + TIME_LEFT;
-    let short = order("short").replace("Ms: 20000", &format!("Ms: {}", TIME_LEFT.as_millis()));
+    let short =
+        order_request("short").replace("Ms: 20000", &format!("Ms: {}", TIME_LEFT.as_millis()));
     client.write_all(short.as_bytes()).expect("sent");
     assert_eq!(blocked.next_request(), "short");
     thread::sleep((due - HOLD_UP / 2).saturating_duration_since(Instant::now()));
--- a/tests/lifecycle/shutdown.rs
+++ b/tests/lifecycle/shutdown.rs
@@ -103,7 +103,7 @@
     small.connect(&sidecar.at.into()).expect("connected");
     let mut open = TcpStream::from(small);
     open.set_read_timeout(Some(PATIENCE)).expect("a time");
-    open.write_all(order("open").as_bytes()).expect("sent");
+    open.write_all(order_request("open").as_bytes()).expect("sent");
     assert_eq!(blocked.next_request(), "open");
     begin_shutdown(&sidecar);
     // After this time a process without requests in progress exits at once.
@@ -134,7 +134,7 @@
         n += 1;
         let mut late = sidecar.connect();
         thread::sleep(Duration::from_millis(30));
-        let sent = late.write_all(look(&format!("late{n}")).as_bytes());
+        let sent = late.write_all(get_request(&format!("late{n}")).as_bytes());
         sent.is_ok() && first_answer(late).ends_with(&format!("\r\n\r\nlate{n}"))
     });
     blocked.release();
@@ -148,7 +148,7 @@
 fn partial_request_at_shutdown_is_answered_or_never_sent() {
     let blocked = BlockedServer::new();
     let mut sidecar = Sidecar::start(discovery(&[&blocked.server]));
-    let complete = order("half");
+    let complete = order_request("half");
     let (first, second) = complete.split_at(complete.len() - 1);
     let mut client = sidecar.connect();
     client.write_all(first.as_bytes()).expect("sent");
@@ -179,7 +179,7 @@
     let echo = Server::echo();
     let mut sidecar = Sidecar::start(discovery(&[&echo]));
     let mut client = sidecar.connect();
-    client.write_all(&order("half").as_bytes()[..40]).expect("sent");
+    client.write_all(&order_request("half").as_bytes()[..40]).expect("sent");
     begin_shutdown(&sidecar);
     let answer = read_to_end(client);
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
@@ -203,7 +203,7 @@
         let hold_up = HoldUp::begin(&sidecar);
         let mut clients: Vec<TcpStream> = (0..8).map(|_| sidecar.connect()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
-            client.write_all(look(&format!("late-{n}")).as_bytes()).expect("sent");
+            client.write_all(get_request(&format!("late-{n}")).as_bytes()).expect("sent");
         }
         thread::sleep(HOLD_UP);
         drop(hold_up);
@@ -234,7 +234,8 @@
                 client.set_read_timeout(Some(PATIENCE)).expect("a time");
                 let id = format!("{number}-{n}");
                 // If writing fails, the connection was closed before the whole request was sent.
-                if client.write_all(order(&id).as_bytes()).is_ok() && read_to_end(client).is_empty()
+                if client.write_all(order_request(&id).as_bytes()).is_ok()
+                    && read_to_end(client).is_empty()
                 {
                     unanswered.push(id);
                 }
@@ -295,7 +296,7 @@
     late.set_nonblocking(true).expect("set");
     late.peek(&mut [0]).err().filter(|e| e.kind() == ErrorKind::WouldBlock)?;
     late.set_nonblocking(false).expect("set");
-    late.write_all(look("late").as_bytes()).expect("sent");
+    late.write_all(get_request("late").as_bytes()).expect("sent");
     wait_until(1750);
     drop(hold_up);
     assert!(sidecar.wait_for_exit().success());
--- a/tests/lifecycle/support.rs
+++ b/tests/lifecycle/support.rs
@@ -45,7 +45,7 @@
     /// Sends an order with this id through the sidecar, waits until the server has received it, and returns its client.
     pub fn receives_order(&self, sidecar: &Sidecar, id: &str) -> TcpStream {
         let mut client = sidecar.connect();
-        client.write_all(order(id).as_bytes()).expect("sent");
+        client.write_all(order_request(id).as_bytes()).expect("sent");
         assert_eq!(self.next_request(), id);
         client
     }
--- a/tests/lifecycle/system_calls.rs
+++ b/tests/lifecycle/system_calls.rs
@@ -45,7 +45,7 @@
     for n in 0..requests {
         let id = format!("{name}-{n}");
         let mut reader = client.take().unwrap_or_else(|| BufReader::new(sidecar.connect()));
-        let sent = reader.get_mut().write_all(look(&id).as_bytes());
+        let sent = reader.get_mut().write_all(get_request(&id).as_bytes());
         let answer = sent.ok().and_then(|()| read_message(&mut reader));
         match answer {
             Some((head, body)) => {
@@ -76,14 +76,14 @@
     let rates = FaultRates { seed: 2, aborted: 300, ..FaultRates::default() };
     let sidecar = start(discovery(&[&echo]), rates, None);
     let mut idle = sidecar.connect();
-    idle.write_all(look("first").as_bytes()).expect("sent");
+    idle.write_all(get_request("first").as_bytes()).expect("sent");
     assert!(first_answer(idle.try_clone().expect("a second handle")).ends_with("first"));
     for n in 0..40 {
-        let answer = sidecar.exchange(&look(&format!("other{n}")));
+        let answer = sidecar.exchange(&get_request(&format!("other{n}")));
         assert!(answer.ends_with(&format!("other{n}")), "{answer:?}");
     }
     std::thread::sleep(Duration::from_millis(50));
-    idle.write_all(look("second").as_bytes()).expect("sent");
+    idle.write_all(get_request("second").as_bytes()).expect("sent");
     assert!(first_answer(idle).ends_with("second"));
     assert_eq!(event_count(&sidecar, "closed.evicted"), 0);
 }
@@ -248,7 +248,7 @@
     let body = format!("Content-Length: {ORDER_BYTES}\r\n\r\n{}", "x".repeat(ORDER_BYTES));
     for n in 0..60 {
         let id = format!("order{n}");
-        let text = order(&id).replace("Content-Length: 2\r\n\r\nab", &body);
+        let text = order_request(&id).replace("Content-Length: 2\r\n\r\nab", &body);
         let answer = sidecar.exchange(&text);
         let executed = executions.lock().expect("no panic").get(&id).copied().unwrap_or_default();
         let rejected = answer.starts_with("HTTP/1.1 503") || answer.starts_with("HTTP/1.1 429");
@@ -273,7 +273,7 @@
 /// A client that has had a response and keeps its connection idle.
 fn idle_client(sidecar: &Sidecar) -> TcpStream {
     let mut client = sidecar.connect();
-    client.write_all(look("first").as_bytes()).expect("sent");
+    client.write_all(get_request("first").as_bytes()).expect("sent");
     assert!(first_answer(client.try_clone().expect("a handle")).ends_with("first"));
     client
 }
@@ -293,7 +293,7 @@
     let closed_after = since.elapsed();
     let mut second = idle_client(&sidecar);
     thread::sleep(closed_after - HOLD / 2);
-    second.write_all(look("second").as_bytes()).expect("sent");
+    second.write_all(get_request("second").as_bytes()).expect("sent");
     let answer = first_answer(second);
     assert!(answer.ends_with("second"), "{answer:?}");
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -48,7 +48,7 @@
     let server = Server::echo();
     let registry = Registry::start(server_list(4800, &server));
     let sidecar = Sidecar::start_with(registry, |config| set_memory(config, 32));
-    assert!(sidecar.exchange(&look("a")).ends_with("\r\n\r\na"));
+    assert!(sidecar.exchange(&get_request("a")).ends_with("\r\n\r\na"));
     assert_eq!(statistic(&sidecar, "pool_size"), 4800);
     assert_eq!(
         (statistic(&sidecar, "lists_too_long"), statistic(&sidecar, "pool_most")),
@@ -63,7 +63,7 @@
     let (server, other) = (Server::echo(), Server::echo());
     let registry = Registry::start(server_list(4200, &server));
     let sidecar = Sidecar::start_with(registry.clone(), |config| set_memory(config, 16));
-    assert!(sidecar.exchange(&look("a")).ends_with("\r\n\r\na"));
+    assert!(sidecar.exchange(&get_request("a")).ends_with("\r\n\r\na"));
     assert_eq!((statistic(&sidecar, "pool_size"), statistic(&sidecar, "pool_most")), (4096, 4096));
     assert!(statistic(&sidecar, "lists_too_long") >= 1);
     let logged = |line: &str| {
@@ -81,7 +81,7 @@
         let before = server.seen().len();
         (0..20).for_each(|_| {
             n += 1;
-            sidecar.exchange(&look(&format!("look{n}")));
+            sidecar.exchange(&get_request(&format!("look{n}")));
         });
         server.seen().len() == before
     });
@@ -131,7 +131,7 @@
     until("the log has the size and the limit", || sidecar.log().lines().any(logged));
     assert!(statistic(&sidecar, "lists_too_long") >= 1);
     assert!(
-        sidecar.exchange(&look("a")).ends_with("\r\n\r\na"),
+        sidecar.exchange(&get_request("a")).ends_with("\r\n\r\na"),
         "the known servers are still used"
     );
     let new = Server::echo();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -22,7 +22,7 @@
 fn reload_moves_discovery_and_invalid_file_changes_nothing() {
     let (old, new) = (Server::echo(), Server::echo());
     let mut sidecar = Sidecar::start(discovery(&[&old]));
-    assert!(sidecar.exchange(&look("a")).ends_with("\r\n\r\na"));
+    assert!(sidecar.exchange(&get_request("a")).ends_with("\r\n\r\na"));
     for bad in ["{", "{}", r#"{"seed":"x"}"#] {
         let before = sidecar.log().matches("failed to reload configuration").count();
         sidecar.replace_config(bad);
@@ -31,14 +31,14 @@
             sidecar.log().matches("failed to reload configuration").count() > before
         });
     }
-    assert!(sidecar.exchange(&look("b")).ends_with("\r\n\r\nb"));
+    assert!(sidecar.exchange(&get_request("b")).ends_with("\r\n\r\nb"));
     assert!(new.seen().is_empty());
     let moved = discovery(&[&new]);
     sidecar.replace_config(&sidecar.config_with_discovery(&moved));
     sidecar.signal("HUP");
     sidecar.wait_until_reaches(&new);
     let at_old = old.seen().len();
-    assert!(sidecar.exchange(&look("d")).ends_with("\r\n\r\nd"));
+    assert!(sidecar.exchange(&get_request("d")).ends_with("\r\n\r\nd"));
     assert_eq!(old.seen().len(), at_old, "the server of the old list gets no more requests");
     sidecar.signal("TERM");
     assert!(sidecar.wait_for_exit().success());
@@ -48,7 +48,7 @@
 fn malformed_request_is_rejected_and_not_forwarded() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
-    let hidden = look("hidden");
+    let hidden = get_request("hidden");
     let post = |headers: &str, body: &str| {
         format!(
             "POST /order/1 HTTP/1.1\r\nX-Correlation-Id: bad\r\nX-Time-Left-Ms: 20000\r\n\
@@ -78,15 +78,15 @@
         ("two ids", get("/look/1", "X-Correlation-Id: other\r\nX-Time-Left-Ms: 20000")),
         ("no id", "GET /look/1 HTTP/1.1\r\nX-Time-Left-Ms: 20000\r\n\r\n".to_owned()),
         ("the wrong method", get("/order/1", "X-Time-Left-Ms: 20000")),
-        ("many at once", look("bad") + &look("bad2") + &look("bad3")),
-        ("noise behind a request", look("bad") + "noise"),
+        ("many at once", get_request("bad") + &get_request("bad2") + &get_request("bad3")),
+        ("noise behind a request", get_request("bad") + "noise"),
     ];
     for (case, text) in &bad {
         let answer = sidecar.exchange(text);
         assert!(is_client_error(&answer), "{case}: {answer:?}");
         // The sidecar still serves, and no part of the malformed request was taken as another request.
         let id = case.replace([' ', ','], "-");
-        assert!(sidecar.exchange(&look(&id)).ends_with(&id), "after {case}");
+        assert!(sidecar.exchange(&get_request(&id)).ends_with(&id), "after {case}");
     }
     let seen = server.seen();
     assert!(!seen.contains(&"hidden".to_owned()), "{seen:?}");
@@ -104,7 +104,7 @@
         socket.write_all(answer(id).as_bytes()).is_ok()
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
-    let request = order("same");
+    let request = order_request("same");
     let mut first = sidecar.connect();
     first.write_all(request.as_bytes()).expect("sent");
     started_receiver.recv_timeout(PATIENCE).expect("the first request reaches the server");
@@ -121,7 +121,7 @@
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
     let silent: Vec<_> = (0..150).map(|_| sidecar.connect()).collect();
-    assert!(sidecar.exchange(&look("a")).ends_with("a"));
+    assert!(sidecar.exchange(&get_request("a")).ends_with("a"));
     let started = Instant::now();
     let mut slow = sidecar.connect();
     thread::spawn({
@@ -140,7 +140,7 @@
     for socket in silent {
         assert_eq!(read_to_end(socket), "");
     }
-    assert!(sidecar.exchange(&look("b")).ends_with("b"));
+    assert!(sidecar.exchange(&get_request("b")).ends_with("b"));
 }
 
 #[test]
@@ -168,7 +168,7 @@
     });
     for (n, (case, _)) in malformed.iter().enumerate() {
         let sidecar = Sidecar::start(discovery(&[&server]));
-        let answer = sidecar.exchange(&order(&n.to_string()));
+        let answer = sidecar.exchange(&order_request(&n.to_string()));
         assert!(answer.starts_with("HTTP/1.1 502"), "{case}: {answer:?}");
         let seen = server.seen();
         assert_eq!(seen.iter().filter(|id| **id == n.to_string()).count(), 1, "{case}: sent twice");
@@ -185,7 +185,7 @@
     let mut n = 0;
     until("the stalled server gets a request", || {
         n += 1;
-        let answer = sidecar.exchange(&look(&format!("{n}")));
+        let answer = sidecar.exchange(&get_request(&format!("{n}")));
         assert!(answer.ends_with(&format!("\r\n\r\n{n}")), "{answer:?}");
         !stalled.seen().is_empty()
     });
@@ -208,7 +208,7 @@
     for round in 0..20 {
         for case in ["twice", "noise", "interim", "report"] {
             let id = format!("{case}-{round}");
-            assert!(sidecar.exchange(&look(&id)).ends_with(&format!("\r\n\r\n{id}")));
+            assert!(sidecar.exchange(&get_request(&id)).ends_with(&format!("\r\n\r\n{id}")));
         }
     }
 }
@@ -226,7 +226,7 @@
     });
     let mut sidecar = Sidecar::start(discovery(&[&server]));
     let mut open = sidecar.connect();
-    open.write_all(order("open").as_bytes()).expect("sent");
+    open.write_all(order_request("open").as_bytes()).expect("sent");
     started_receiver.recv_timeout(PATIENCE).expect("the request reaches the server");
     sidecar.signal("TERM");
     until("the sidecar drains", || {
@@ -258,7 +258,7 @@
     });
     let pair = ["pair1", "pair2"].map(|id| {
         let mut socket = sidecar.connect();
-        socket.write_all(order(id).as_bytes()).expect("sent");
+        socket.write_all(order_request(id).as_bytes()).expect("sent");
         socket
     });
     let ports = pair.map(|socket| first_answer(socket).split("\r\n\r\n").last().map(str::to_owned));
@@ -268,7 +268,7 @@
         // Both connections are idle after this pause; then two requests follow, one after the other.
         thread::sleep(Duration::from_millis(20));
         n += 1;
-        let [a, b] = ["a", "b"].map(|x| sidecar.exchange(&order(&format!("{x}{n}"))));
+        let [a, b] = ["a", "b"].map(|x| sidecar.exchange(&order_request(&format!("{x}{n}"))));
         assert!(a.contains("200 OK") && b.contains("200 OK"), "{a:?} {b:?}");
         a.split("\r\n\r\n").last() != b.split("\r\n\r\n").last()
     });
@@ -291,11 +291,11 @@
         socket.write_all(text.as_bytes()).is_ok()
     });
     let sidecar = Sidecar::start(discovery(&[&server]));
-    let answer = sidecar.exchange(&order("long"));
+    let answer = sidecar.exchange(&order_request("long"));
     assert!(answer.ends_with(&long), "{} bytes", answer.len());
-    assert!(sidecar.exchange(&order("claimed")).starts_with("HTTP/1.1 502"));
+    assert!(sidecar.exchange(&order_request("claimed")).starts_with("HTTP/1.1 502"));
     let mut socket = sidecar.connect();
-    socket.write_all(order("endless").as_bytes()).expect("written");
+    socket.write_all(order_request("endless").as_bytes()).expect("written");
     let endless = read_to_end(socket);
     assert!(endless.len() < 40 << 20, "{} bytes", endless.len());
     assert!(!endless.ends_with("\r\n0\r\n\r\n"), "a truncated response must not look complete");
@@ -338,7 +338,9 @@
     let read = witness.read(&mut [0]);
     assert!(read.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock), "{read:?}");
     drop(memory_holders);
-    until("memory for bodies is free again", || sidecar.exchange(&order("next")).ends_with("next"));
+    until("memory for bodies is free again", || {
+        sidecar.exchange(&order_request("next")).ends_with("next")
+    });
 }
 
 /// Servers may name the fields of a load report as the settings do (`q`, `rif`) or as the protocol does (`queue`,
@@ -360,7 +362,7 @@
         let sidecar = Sidecar::start(discovery(&[&busy, &calm]));
         for n in 0..80 {
             let id = format!("r{n}");
-            assert!(sidecar.exchange(&look(&id)).ends_with(&id));
+            assert!(sidecar.exchange(&get_request(&id)).ends_with(&id));
         }
         let (at_busy, at_calm) = (busy.seen().len(), calm.seen().len());
         assert_eq!(at_busy + at_calm, 80);
@@ -394,7 +396,7 @@
             seen_in_first_half = idle.seen().len();
         }
         let id = format!("r{n}");
-        assert!(sidecar.exchange(&look(&id)).ends_with(&id));
+        assert!(sidecar.exchange(&get_request(&id)).ends_with(&id));
     }
     let later = idle.seen().len() - seen_in_first_half;
     assert!(later >= 40, "{later} of 120 requests at the idle server");
@@ -418,10 +420,10 @@
     let all: Vec<&Server> = bad.iter().chain(&good).collect();
     let sidecar = Sidecar::start(discovery(&all));
     for n in 0..200 {
-        sidecar.exchange(&look(&format!("l{n}")));
+        sidecar.exchange(&get_request(&format!("l{n}")));
     }
     let failed = (0..200).filter(|n| {
-        let answer = sidecar.exchange(&order(&format!("o{n}")));
+        let answer = sidecar.exchange(&order_request(&format!("o{n}")));
         !answer.starts_with("HTTP/1.1 200")
     });
     let failed = failed.count();
@@ -430,7 +432,7 @@
     let at_bad = || bad.iter().map(|s| s.seen().len()).sum::<usize>();
     let before = at_bad();
     for n in 200..300 {
-        sidecar.exchange(&look(&format!("l{n}")));
+        sidecar.exchange(&get_request(&format!("l{n}")));
     }
     assert!(at_bad() >= before + 2, "{} of 100 requests at the failing servers", at_bad() - before);
 }
@@ -448,7 +450,7 @@
         for n in 0..14 {
             let mut socket = sidecar.connect();
             let id = format!("r{round}-{n}");
-            socket.write_all(look(&id).as_bytes()).expect("sent");
+            socket.write_all(get_request(&id).as_bytes()).expect("sent");
             let copy = socket.try_clone().expect("a second handle");
             assert!(first_answer(copy).ends_with(&id));
             held.push(socket);
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -15,7 +15,8 @@
 use std::time::Duration;
 
 use net::{
-    Folder, PATIENCE, Server, Sidecar, answer, discovery, first_answer, look, order, program, until,
+    Folder, PATIENCE, Server, Sidecar, answer, discovery, first_answer, get_request, order_request,
+    program, until,
 };
 use serde_json::Value;
 
@@ -46,8 +47,8 @@
     let state = reload(&sidecar, &config);
     assert_eq!((&state["generation"], &state["declined"]), (&2.into(), &Value::Null));
     // The new tenants apply: a request that names none is rejected.
-    assert!(sidecar.exchange(&look("a")).starts_with("HTTP/1.1 400"));
-    let with_tenant = |id| look(id).replace("\r\nX-Time", "\r\nX-Account: club\r\nX-Time");
+    assert!(sidecar.exchange(&get_request("a")).starts_with("HTTP/1.1 400"));
+    let with_tenant = |id| get_request(id).replace("\r\nX-Time", "\r\nX-Account: club\r\nX-Time");
     assert!(sidecar.exchange(&with_tenant("b")).ends_with("\r\n\r\nb"));
 
     let mut other_zones = config.clone();
@@ -103,7 +104,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut old = Sidecar::start_on(Some(&listener), discovery(&[&server]), |_| {});
     let mut slow = old.connect();
-    slow.write_all(order("slow").as_bytes()).expect("sent");
+    slow.write_all(order_request("slow").as_bytes()).expect("sent");
     started_receiver.recv_timeout(PATIENCE).expect("the request is in progress");
 
     let new = Sidecar::start_on(Some(&listener), discovery(&[&server]), |_| {});
@@ -118,7 +119,7 @@
                 n += 1;
                 let id = format!("r{n}");
                 let mut socket = std::net::TcpStream::connect(at).expect("never refused");
-                socket.write_all(order(&id).as_bytes()).expect("sent");
+                socket.write_all(order_request(&id).as_bytes()).expect("sent");
                 let answer = first_answer(socket);
                 assert!(answer.ends_with(&format!("\r\n\r\n{id}")), "{answer:?}");
                 served.fetch_add(1, Ordering::Relaxed);
@@ -173,7 +174,7 @@
         report.contains("READY=1\n")
     });
     for n in 0..3 {
-        assert!(sidecar.exchange(&look(&format!("c{n}"))).contains("200 OK"));
+        assert!(sidecar.exchange(&get_request(&format!("c{n}"))).contains("200 OK"));
     }
     until("served requests are reported", || next_report().contains(r#""counts":{"served":3,"#));
     sidecar.signal("TERM");
@@ -252,5 +253,5 @@
     wait_for_report("\"short\":true");
     drop(connections);
     wait_for_report("\"short\":false");
-    assert!(sidecar.exchange(&look("after")).ends_with("after"));
+    assert!(sidecar.exchange(&get_request("after")).ends_with("after"));
 }
