--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -7,8 +7,11 @@
 /// Returns the numbers of requests within and over a quota that are shed in an overload, for an over-quota weight.
 fn shed_by_quota(over_quota_weight: f64) -> [u32; 2] {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b =
-        Bench::new(settings(|s| s["overShareWorth"] = over_quota_weight.into()), 2, &servers);
+    let mut b = BalancerHarness::new(
+        settings(|s| s["overShareWorth"] = over_quota_weight.into()),
+        2,
+        &servers,
+    );
     let mut shed = [0, 0];
     for i in 0..300 {
         b.over_quota = i % 2 == 0;
@@ -44,9 +47,9 @@
 /// capacity.
 #[test]
 fn single_late_answer_does_not_shed_the_highest_priority_class() {
-    let mut b = Bench::new(settings(|_| {}), 2, &[server(0), server(2), server(4)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 2, &[server(0), server(2), server(4)]);
     for _ in 0..5 {
-        b.round(0, 0.0);
+        b.exchange(0, 0.0);
     }
     let (id, out) = b.request(0);
     let to = sent(&out).expect("sent");
@@ -62,7 +65,7 @@
 #[test]
 fn overload_sheds_the_lowest_priority_class_first() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 2, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 2, &servers);
     let (mut low_priority, mut high_priority) = (0, 0);
     for i in 0..300 {
         let class = if i % 2 == 0 { 0 } else { 2 };
@@ -86,7 +89,7 @@
 #[test]
 fn rejections_that_succeed_elsewhere_do_not_shed() {
     let servers: Vec<_> = (0..8).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 3, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 3, &servers);
     for _ in 0..200 {
         let (id, out) = b.request(0);
         let first = sent(&out).expect("not shed");
@@ -103,7 +106,7 @@
 fn announced_work_does_not_count_as_overload() {
     let servers: Vec<_> = (0..8).map(server).collect();
     let shed = |hinted: bool| {
-        let mut b = Bench::new(settings(|_| {}), 4, &servers);
+        let mut b = BalancerHarness::new(settings(|_| {}), 4, &servers);
         let mut shed = 0;
         for i in 0..2000 {
             let (work, latency) = if i % 4 == 0 { (80 * MS, 190 * MS) } else { (10 * MS, 60 * MS) };
@@ -127,7 +130,7 @@
 fn classes_of_equal_priority_are_not_shed_early() {
     let servers: Vec<_> = (0..8).map(server).collect();
     let shed = |class: usize| {
-        let mut b = Bench::new(settings(|_| {}), 4, &servers);
+        let mut b = BalancerHarness::new(settings(|_| {}), 4, &servers);
         let mut shed = 0;
         for _ in 0..400 {
             let (id, out) = b.request(class);
@@ -158,7 +161,7 @@
         [(0, true), (10 * MS, true), (2 * S, true), (10 * MS, false), (2 * S, false)]
     {
         let max = if is_allowed { max_retry_after } else { 0 };
-        let mut b = Bench::new(with_limits(max_retry_after, is_allowed), 1, &[]);
+        let mut b = BalancerHarness::new(with_limits(max_retry_after, is_allowed), 1, &[]);
         let mut values = Vec::new();
         for _ in 0..20 {
             let (_, out) = b.request(0);
@@ -176,7 +179,7 @@
 
 #[test]
 fn late_request_is_not_cancelled_without_a_final_answer() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(2)]);
     // No response arrives within its latency objective.
     let open: Vec<_> = (0..12).map(|_| b.request(0)).filter(|r| sent(&r.1).is_some()).collect();
     assert!(!open.is_empty());
@@ -185,7 +188,7 @@
         for action in out {
             let Action::SetTimer { token, delay } = *action else { continue };
             if delay <= 200 * MS {
-                let late = b.event(Event::Timer { token });
+                let late = b.handle_event(Event::Timer { token });
                 let is_cancelled = late.iter().any(|a| matches!(a, Action::Cancel { .. }));
                 assert!(!is_cancelled || rejected(&late) || failed(&late), "{id:?}: {late:?}");
             }
@@ -196,7 +199,7 @@
 #[test]
 fn lost_answers_do_not_count_as_overload() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     let (mut timers, mut lost) = (Vec::new(), Vec::new());
     let mut shed = 0;
     for n in 0..400 {
@@ -219,7 +222,7 @@
             && at <= b.now
         {
             timers.remove(0);
-            b.event(Event::Timer { token });
+            b.handle_event(Event::Timer { token });
         }
         while let Some(&(at, id, to)) = lost.first()
             && at <= b.now
@@ -236,12 +239,12 @@
 #[test]
 fn request_without_enough_time_left_is_mostly_rejected_at_once() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 5, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 5, &servers);
     let mut sends_with_time_left = |time_left: Micros, n: u64| {
         let mut sends = 0;
         for id in n * 1000..n * 1000 + 200 {
             let id = RequestId(id);
-            let out = b.event(Event::Request(NewRequest {
+            let out = b.handle_event(Event::Request(NewRequest {
                 id,
                 class: 0,
                 tenant: 0,
@@ -271,11 +274,11 @@
 /// Once the mean latency is known, a request with less time left is rejected with the reason `TooLittleTime`.
 #[test]
 fn request_with_too_little_time_is_rejected_for_that_reason() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0)]);
-    b.rounds(40);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0)]);
+    b.exchange_many(40);
     let mut reasons = Vec::new();
     for n in 0..40 {
-        let out = b.event(Event::Request(NewRequest {
+        let out = b.handle_event(Event::Request(NewRequest {
             id: RequestId(1000 + n),
             class: 0,
             tenant: 0,
--- a/tests/balancer/chips.rs
+++ b/tests/balancer/chips.rs
@@ -4,17 +4,18 @@
 
 use crate::common::*;
 
-/// Runs rounds of 20 ms until the first capacity estimate exists. As queues are empty, it is the minimum of four.
-fn with_capacity(seed: u64) -> Bench {
-    let mut b = Bench::new(settings(|_| {}), seed, &[server(0), server(2)]);
+/// Sends requests one after the other, each answered after 20 ms, until the first capacity estimate exists. As queues
+/// are empty, the estimate is the minimum of four.
+fn with_capacity(seed: u64) -> BalancerHarness {
+    let mut b = BalancerHarness::new(settings(|_| {}), seed, &[server(0), server(2)]);
     for _ in 0..3200 {
-        b.round(0, 0.0);
+        b.exchange(0, 0.0);
     }
     b
 }
 
 /// Sends one request and answers it after 20 ms with a reported queue that depends on the server.
-fn round_with_queue(b: &mut Bench, queue: impl Fn(ServerId) -> f32) -> ServerId {
+fn exchange_with_queue(b: &mut BalancerHarness, queue: impl Fn(ServerId) -> f32) -> ServerId {
     let (id, out) = b.request(0);
     let to = sent(&out).expect("sent");
     b.now += 20 * MS;
@@ -26,17 +27,17 @@
 fn report_above_capacity_removes_chips_until_reset_interval() {
     let mut b = with_capacity(1);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
-    while round_with_queue(&mut b, busy) != ServerId(0) {}
+    while exchange_with_queue(&mut b, busy) != ServerId(0) {}
     // The reset interval is the longest deadline: 1.5 s in these settings.
     let removed_at = b.now;
     let mut to_busy = 0;
     while b.now < removed_at + 1400 * MS {
-        to_busy += u32::from(round_with_queue(&mut b, busy) == ServerId(0));
+        to_busy += u32::from(exchange_with_queue(&mut b, busy) == ServerId(0));
     }
     assert_eq!(to_busy, 0, "a server without chips got attempts while another held chips");
     b.now = removed_at + 1600 * MS;
     let mut tries = 0;
-    while round_with_queue(&mut b, busy) != ServerId(0) {
+    while exchange_with_queue(&mut b, busy) != ServerId(0) {
         tries += 1;
         assert!(tries < 50, "the server is not tried again after the reset interval");
     }
@@ -52,7 +53,7 @@
     b.over_quota = false;
     let mut used = std::collections::BTreeSet::new();
     while used.len() < 2 {
-        used.insert(round_with_queue(&mut b, |_| 50.0));
+        used.insert(exchange_with_queue(&mut b, |_| 50.0));
     }
     b.over_quota = true;
     for _ in 0..20 {
@@ -66,9 +67,9 @@
 
 #[test]
 fn no_report_is_above_capacity_before_the_first_estimate() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(2)]);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
-    let to_busy = (0..100).filter(|_| round_with_queue(&mut b, busy) == ServerId(0)).count();
+    let to_busy = (0..100).filter(|_| exchange_with_queue(&mut b, busy) == ServerId(0)).count();
     assert!(to_busy > 0, "a server without a capacity estimate lost its chips");
 }
 
@@ -86,7 +87,7 @@
         while b.now < end {
             rounds += 1;
             // A server can hold at most 16 chips, so it gets at most 16 attempts.
-            sends += u32::from(round_with_queue(&mut b, queue) == ServerId(0));
+            sends += u32::from(exchange_with_queue(&mut b, queue) == ServerId(0));
         }
         assert!(sends <= 16, "{sends} of {rounds} attempts with at most 16 chips");
     }
--- a/tests/balancer/ejection.rs
+++ b/tests/balancer/ejection.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn hung_server_gets_one_trial_at_a_time() {
-    let mut b = Bench::new(settings(|_| {}), 5, &[server(0), server(2), server(4)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 5, &[server(0), server(2), server(4)]);
     let hung = ServerId(0);
     let (mut lost, mut open) = (0, Vec::new());
     for _ in 0..400 {
@@ -31,28 +31,28 @@
 /// sidecars would run out of servers one after the other.
 #[test]
 fn cancelled_attempt_does_not_mark_server_silent() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0)]);
     let (id, out) = b.request(0);
     let to = sent(&out).expect("sent");
-    b.event(Event::ClientDisconnected { id });
+    b.handle_event(Event::ClientDisconnected { id });
     b.now += 5 * MS;
     b.answer(id, 0, to, Outcome::Cancelled, 0.0);
     b.now += 10 * S;
-    assert_eq!(b.round(0, 0.0), Some(to));
+    assert_eq!(b.exchange(0, 0.0), Some(to));
 }
 
 #[test]
 fn single_failure_does_not_eject_a_server() {
     for outcome in [Outcome::ConnectionReset, Outcome::ErrorResponse] {
-        let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+        let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(2)]);
         for _ in 0..20 {
-            b.round(0, 0.0);
+            b.exchange(0, 0.0);
         }
         let (id, out) = b.request(2);
         let failing = sent(&out).expect("sent");
         b.now += 20 * MS;
         b.answer(id, 0, failing, outcome, 0.0);
-        let again = (0..20).filter(|_| b.round(0, 0.0) == Some(failing)).count();
+        let again = (0..20).filter(|_| b.exchange(0, 0.0) == Some(failing)).count();
         assert!(again > 0, "{outcome:?}: ejected after one failure");
     }
 }
@@ -60,7 +60,7 @@
 #[test]
 fn consecutive_failures_eject_a_server_until_a_trial() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     let failing = ServerId(0);
     let mut sends = 0;
     for _ in 0..200 {
@@ -77,7 +77,7 @@
 #[test]
 fn panic_threshold_keeps_servers_when_all_fail() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     for n in 0..400 {
         let (id, out) = b.request(2);
         let to = sent(&out).unwrap_or_else(|| panic!("request {n} found no server"));
@@ -94,9 +94,9 @@
 const MAX_FIRST_EJECTION_TIME: Micros = 2 * S;
 
 /// Sends requests that all succeed, with pauses of 5 ms, until one goes to `server`. Returns the elapsed time.
-fn time_until_used(b: &mut Bench, server: ServerId) -> Micros {
+fn time_until_used(b: &mut BalancerHarness, server: ServerId) -> Micros {
     let from = b.now;
-    while b.round(0, 0.0) != Some(server) {
+    while b.exchange(0, 0.0) != Some(server) {
         assert!(b.now - from < 60 * S, "{server:?} is never used again");
         b.now += 5 * MS;
     }
@@ -106,7 +106,7 @@
 #[test]
 fn simultaneous_failures_delay_the_next_trial_no_more_than_one() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     let crashed = ServerId(0);
     let sent_to: Vec<_> = (0..160).map(|_| b.request(2)).collect();
     b.now += 5 * MS;
@@ -127,7 +127,7 @@
 #[test]
 fn failures_while_ejection_is_ignored_are_no_failed_trials() {
     let servers: Vec<_> = (0..3).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     for _ in 0..100 {
         let (id, out) = b.request(2);
         let Some(to) = sent(&out) else { continue };
@@ -148,7 +148,7 @@
 #[test]
 fn server_that_failed_for_long_is_tried_within_eight_longest_deadlines_of_its_recovery() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     let failing = ServerId(0);
     for _ in 0..24_000 {
         let (id, out) = b.request(2);
--- a/tests/balancer/endpoints.rs
+++ b/tests/balancer/endpoints.rs
@@ -6,20 +6,20 @@
 
 #[test]
 fn draining_or_removed_server_gets_no_attempts() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(1)]);
-    b.servers(ListKind::Delta, &[with_health(0, Health::Draining)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(1)]);
+    b.update_endpoints(ListKind::Delta, &[with_health(0, Health::Draining)]);
     for _ in 0..50 {
-        assert_eq!(b.round(0, 0.0), Some(ServerId(1)));
+        assert_eq!(b.exchange(0, 0.0), Some(ServerId(1)));
     }
-    b.servers(ListKind::Complete, &[server(2)]);
+    b.update_endpoints(ListKind::Complete, &[server(2)]);
     for _ in 0..50 {
-        assert_eq!(b.round(0, 0.0), Some(ServerId(2)));
+        assert_eq!(b.exchange(0, 0.0), Some(ServerId(2)));
     }
 }
 
 #[test]
 fn request_is_rejected_when_no_server_is_listed() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[]);
     for class in 0..3 {
         let (_, out) = b.request(class);
         assert!(rejected(&out));
@@ -31,14 +31,14 @@
 fn failed_watch_is_retried_after_a_delay() {
     for seed in 0..20 {
         let polling = settings(|s| s["discovery"] = "on_request".into());
-        let mut b = Bench::new(polling, seed, &[server(0)]);
-        let out = b.servers(ListKind::Failed, &[]);
+        let mut b = BalancerHarness::new(polling, seed, &[server(0)]);
+        let out = b.update_endpoints(ListKind::Failed, &[]);
         let Some(Action::SetTimer { delay, token }) = out.first() else {
             panic!("no timer: {out:?}");
         };
         assert!((S / 4..=10 * S).contains(delay), "{delay}");
         b.now += delay;
-        let out = b.event(Event::Timer { token: *token });
+        let out = b.handle_event(Event::Timer { token: *token });
         assert!(out.contains(&Action::Subscribe));
     }
 }
@@ -63,11 +63,11 @@
                 s["discovery"] = "on_request".into();
                 s["rules"]["mustAskIn"] = (must_ask_in * S).into();
             });
-            let mut b = Bench::new(polling, seed, &[server(0)]);
+            let mut b = BalancerHarness::new(polling, seed, &[server(0)]);
             // Discovery has been down for a while.
-            (0..20).for_each(|_| drop(b.servers(ListKind::Failed, &[])));
-            let (first, _) = timer(&b.servers(ListKind::Failed, &[]));
-            let (second, _) = timer(&b.servers(ListKind::Failed, &[]));
+            (0..20).for_each(|_| drop(b.update_endpoints(ListKind::Failed, &[])));
+            let (first, _) = timer(&b.update_endpoints(ListKind::Failed, &[]));
+            let (second, _) = timer(&b.update_endpoints(ListKind::Failed, &[]));
             let third_call = first + 2 * S + second;
             assert!(
                 third_call <= NOTIFICATION_DEADLINE - S / 2,
@@ -86,8 +86,8 @@
             s["rules"]["mustAskIn"] = (must_ask_in * S).into();
         };
         for seed in 0..200 {
-            let mut b = Bench::new(settings(polling), seed, &[server(0)]);
-            let (first, _) = timer(&b.servers(ListKind::Cached, &[server(0)]));
+            let mut b = BalancerHarness::new(settings(polling), seed, &[server(0)]);
+            let (first, _) = timer(&b.update_endpoints(ListKind::Cached, &[server(0)]));
             assert!(
                 first <= NOTIFICATION_DEADLINE / 2,
                 "mustAskIn {must_ask_in} s: after {first} us"
@@ -109,13 +109,14 @@
             s["discovery"] = "on_request".into();
             s["rules"]["mustAskIn"] = (must_ask_in * S).into();
         };
-        let mut all: Vec<_> =
-            (0..sidecars).map(|n| Bench::new(settings(polling), n, &[server(0)])).collect();
+        let mut all: Vec<_> = (0..sidecars)
+            .map(|n| BalancerHarness::new(settings(polling), n, &[server(0)]))
+            .collect();
         // Calls fail until discovery has recovered. Each sidecar backs off by its own failures.
         let recovery = START + 20 * S;
         let mut calls = std::collections::BTreeSet::new();
         for (n, b) in all.iter_mut().enumerate() {
-            let (wait, _) = timer(&b.servers(ListKind::Failed, &[]));
+            let (wait, _) = timer(&b.update_endpoints(ListKind::Failed, &[]));
             calls.insert((b.now + wait, n));
         }
         let (mut idle_at, mut last_notified, mut calls_after_recovery) = (recovery, recovery, 0);
@@ -131,7 +132,7 @@
                 }
             }
             all[n].now = if is_refused { at } else { at + CALL_TIMEOUT };
-            let (wait, _) = timer(&all[n].servers(ListKind::Failed, &[]));
+            let (wait, _) = timer(&all[n].update_endpoints(ListKind::Failed, &[]));
             calls.insert((all[n].now + wait, n));
         }
         let took = last_notified - recovery;
--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -16,8 +16,8 @@
 fn same_seed_and_events_give_same_actions() {
     let servers: Vec<_> = (0..5).map(server).collect();
     let run = |seed| {
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
-        (0..200).map(|i| b.round(i % 3, (i % 7) as f32)).collect::<Vec<_>>()
+        let mut b = BalancerHarness::new(settings(|_| {}), seed, &servers);
+        (0..200).map(|i| b.exchange(i % 3, (i % 7) as f32)).collect::<Vec<_>>()
     };
     assert_eq!(run(7), run(7));
     assert_ne!(run(7), run(8));
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn rejected_attempt_is_retried_elsewhere_at_once() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(2)]);
     for class in 0..3 {
         let (id, out) = b.request(class);
         let first = sent(&out).expect("sent");
@@ -21,7 +21,7 @@
 #[test]
 fn non_idempotent_request_that_may_have_run_fails() {
     for outcome in [Outcome::ErrorResponse, Outcome::ConnectionReset, Outcome::TimedOut] {
-        let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+        let mut b = BalancerHarness::new(settings(|_| {}), 1, &[server(0), server(2)]);
         let (id, out) = b.request(2);
         let to = sent(&out).expect("sent");
         let out = b.answer(id, 0, to, outcome, 0.0);
@@ -33,7 +33,7 @@
 fn idempotency_key_request_is_retried_within_dedup_scope_only() {
     for seed in 0..20 {
         let servers: Vec<_> = (0..8).map(server).collect();
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
+        let mut b = BalancerHarness::new(settings(|_| {}), seed, &servers);
         let (id, out) = b.request(1);
         let first = sent(&out).expect("sent");
         let out = b.answer(id, 0, first, Outcome::ConnectionReset, 0.0);
@@ -47,7 +47,7 @@
 #[test]
 fn idempotency_key_request_is_not_retried_after_dedup_window() {
     let servers: Vec<_> = (0..8).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 3, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 3, &servers);
     let (id, out) = b.request(1);
     let first = sent(&out).expect("sent");
     b.now += 701 * MS;
@@ -61,7 +61,7 @@
 fn idempotency_key_request_is_not_retried_shortly_before_the_end_of_its_dedup_window() {
     let servers: Vec<_> = (0..8).map(server).collect();
     for (after, is_retried) in [(500 * MS, true), (600 * MS, false), (695 * MS, false)] {
-        let mut b = Bench::new(settings(|_| {}), 3, &servers);
+        let mut b = BalancerHarness::new(settings(|_| {}), 3, &servers);
         let (id, out) = b.request(1);
         let first = sent(&out).expect("sent");
         b.now += after;
@@ -75,11 +75,14 @@
 /// has no deadline that would end the request.
 #[test]
 fn cancelled_stream_still_gets_a_final_answer() {
-    let mut b =
-        Bench::new(settings(|s| s["classes"][2]["streaming"] = true.into()), 1, &[server(0)]);
+    let mut b = BalancerHarness::new(
+        settings(|s| s["classes"][2]["streaming"] = true.into()),
+        1,
+        &[server(0)],
+    );
     let (id, out) = b.request(2);
     let to = sent(&out).expect("sent");
-    b.event(Event::FirstByte { id, attempt: 0 });
+    b.handle_event(Event::FirstByte { id, attempt: 0 });
     b.now += 4 * MS;
     let out = b.answer(id, 0, to, Outcome::Cancelled, 0.0);
     assert_eq!(out, vec![Action::Fail { id, reason: EndReason::AttemptsFailed }]);
@@ -88,7 +91,7 @@
 #[test]
 fn attempt_that_reached_no_server_is_retried_whatever_the_budget() {
     let servers: Vec<_> = (0..6).map(|n| server(2 * n)).collect();
-    let mut b = Bench::new(settings(|_| {}), 1, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 1, &servers);
     for _ in 0..8 {
         let (id, out) = b.request(2);
         let unreachable = sent(&out).expect("sent");
@@ -104,7 +107,7 @@
 fn failures_are_retried_within_the_share_of_the_retry_budget() {
     let servers: Vec<_> = (0..4).map(server).collect();
     let count_retries = |part: Option<(f64, f64)>| {
-        let mut b = Bench::new(settings(|_| {}), 3, &servers);
+        let mut b = BalancerHarness::new(settings(|_| {}), 3, &servers);
         if let Some((per_request, max_saved)) = part {
             b.balancer.set_retry_budget(per_request, max_saved);
         }
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -9,7 +9,7 @@
 #[test]
 fn server_slower_than_its_peers_is_passed_over() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 4, &servers);
+    let mut b = BalancerHarness::new(settings(|_| {}), 4, &servers);
     let slow = ServerId(0);
     let mut to_slow = 0;
     for i in 0..400 {
@@ -34,7 +34,7 @@
         s["instances"] = 600.into();
         s["prices"] = serde_json::json!({"connection": 0.075});
     });
-    let mut b = Bench::new(priced, 5, &servers);
+    let mut b = BalancerHarness::new(priced, 5, &servers);
     let mut kept = std::collections::BTreeSet::new();
     for _ in 0..100 {
         let (id, out) = b.request(0);
@@ -62,7 +62,7 @@
                 s["me"] = me.into();
                 s["familyInfo"] = serde_json::json!({"warmKeys": key_affinity});
             });
-            let mut b = Bench::new(settings, me, &servers);
+            let mut b = BalancerHarness::new(settings, me, &servers);
             for _ in 0..times {
                 let (id, out) = b.request_for(77);
                 let to = sent(&out).expect("sent");
@@ -85,10 +85,10 @@
     let servers: Vec<_> =
         (0..40).map(|n| ServerEntry { zone: u8::from(n >= 8), ..server(n) }).collect();
     let priced = settings(|s| s["prices"] = serde_json::json!({"crossZone": 0.08}));
-    let mut b = Bench::new(priced, 6, &servers);
+    let mut b = BalancerHarness::new(priced, 6, &servers);
     let mut remote = 0;
     for _ in 0..1000 {
-        let to = b.round(0, 0.0).expect("sent");
+        let to = b.exchange(0, 0.0).expect("sent");
         remote += u32::from(to.0 >= 8);
     }
     assert!(remote < 60, "{remote} of 1000 requests went to remote zones");
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -23,15 +23,15 @@
     let (mut to_cold, mut all) = (0, 0);
     for seed in 0..300 {
         let servers: Vec<_> = (0..n).map(server).collect();
-        let mut b = Bench::new(settings_of_instance(seed, 300), seed, &servers);
+        let mut b = BalancerHarness::new(settings_of_instance(seed, 300), seed, &servers);
         for _ in 0..10 {
-            b.round(0, 1.0);
+            b.exchange(0, 1.0);
         }
         b.now = START + S;
-        b.servers(ListKind::Delta, &[cold.clone()]);
+        b.update_endpoints(ListKind::Delta, &[cold.clone()]);
         for _ in 0..10 {
             all += 1;
-            to_cold += u32::from(b.round(0, 1.0) == Some(cold.id));
+            to_cold += u32::from(b.exchange(0, 1.0) == Some(cold.id));
         }
     }
     let share = f64::from(to_cold) / f64::from(all);
@@ -50,7 +50,8 @@
 fn warming_up_server_gets_no_retries() {
     for seed in 0..50 {
         let cold = ServerEntry { started_at: START - S, ..server(0) };
-        let mut b = Bench::new(settings(|_| {}), seed, &[cold.clone(), server(1), server(2)]);
+        let mut b =
+            BalancerHarness::new(settings(|_| {}), seed, &[cold.clone(), server(1), server(2)]);
         let (id, mut out) = b.request(0);
         for attempt in 0.. {
             let Some(to) = sent(&out) else { break };
@@ -73,7 +74,7 @@
         let mut served = 0;
         for seed in 0..20 {
             let priced = settings(|s| s["prices"]["crossZone"] = 5.0.into());
-            let mut b = Bench::new(priced, seed, listed);
+            let mut b = BalancerHarness::new(priced, seed, listed);
             // The local zone does not respond for longer than any latency objective.
             for _ in 0..400 {
                 b.now += MS;
@@ -115,14 +116,14 @@
     for seed in 0..seeds {
         let servers: Vec<_> = (0..n).map(server).collect();
         let now = joined_at.checked_add_signed(clock_error).expect("after the epoch") - S;
-        let mut b = Bench::new_at(now, settings(|_| {}), seed, &servers);
-        b.servers(ListKind::Complete, &servers);
-        b.rounds(20);
+        let mut b = BalancerHarness::new_at(now, settings(|_| {}), seed, &servers);
+        b.update_endpoints(ListKind::Complete, &servers);
+        b.exchange_many(20);
         b.now = now + S;
         let joining = ServerEntry { started_at: joined_at, ..server(n) };
-        b.servers(ListKind::Delta, &[joining]);
-        let share = |b: &mut Bench| {
-            (0..rounds).filter(|_| b.round(0, 1.0) == Some(ServerId(n))).count() as u32
+        b.update_endpoints(ListKind::Delta, &[joining]);
+        let share = |b: &mut BalancerHarness| {
+            (0..rounds).filter(|_| b.exchange(0, 1.0) == Some(ServerId(n))).count() as u32
         };
         early += share(&mut b);
         b.now = now + 25 * S;
@@ -155,11 +156,14 @@
     for seed in 0..200 {
         let old = ServerEntry { started_at: START - 100 * S, ..server(0) };
         let servers = [old.clone(), server(1), server(2)];
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
-        b.servers(ListKind::Complete, &servers);
-        b.rounds(20);
-        b.servers(ListKind::Delta, &[ServerEntry { started_at: START - 3_600 * S / 4, ..old }]);
-        sends += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(0))).count();
+        let mut b = BalancerHarness::new(settings(|_| {}), seed, &servers);
+        b.update_endpoints(ListKind::Complete, &servers);
+        b.exchange_many(20);
+        b.update_endpoints(
+            ListKind::Delta,
+            &[ServerEntry { started_at: START - 3_600 * S / 4, ..old }],
+        );
+        sends += (0..10).filter(|_| b.exchange(0, 1.0) == Some(ServerId(0))).count();
     }
     let share = sends as f64 / 2000.0;
     let fair_share = 0.25 / 2.25;
@@ -175,7 +179,7 @@
     let (mut to_nearly_warm, mut all) = (0, 0);
     for seed in 0..20 {
         let priced = settings(|s| s["prices"]["crossZone"] = 5.0.into());
-        let mut b = Bench::new(priced, seed, &listed);
+        let mut b = BalancerHarness::new(priced, seed, &listed);
         // The local zone does not respond for longer than any latency objective.
         for _ in 0..400 {
             b.now += MS;
@@ -206,12 +210,12 @@
     for seed in 0..100 {
         let absurd = ServerEntry { started_at: u64::MAX, ..server(0) };
         let servers = [absurd, server(1), server(2)];
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
-        b.servers(ListKind::Complete, &servers);
-        b.rounds(20);
+        let mut b = BalancerHarness::new(settings(|_| {}), seed, &servers);
+        b.update_endpoints(ListKind::Complete, &servers);
+        b.exchange_many(20);
         b.now += S;
-        b.servers(ListKind::Delta, &[ServerEntry { started_at: b.now, ..server(3) }]);
-        sends += (0..10).filter(|_| b.round(0, 1.0) == Some(ServerId(3))).count();
+        b.update_endpoints(ListKind::Delta, &[ServerEntry { started_at: b.now, ..server(3) }]);
+        sends += (0..10).filter(|_| b.exchange(0, 1.0) == Some(ServerId(3))).count();
     }
     let (share, fair_share) = (sends as f64 / 1000.0, 0.25 / 2.5);
     assert!(share < 2.5 * fair_share, "share {share}, fair share {fair_share}");
@@ -229,18 +233,18 @@
     let (mut to_warming, mut all) = (0, 0);
     for seed in 0..100 {
         let servers: Vec<_> = (0..fleet).map(server).collect();
-        let mut b = Bench::new(settings_of_instance(seed, 100), seed, &servers);
-        b.servers(ListKind::Complete, &servers);
-        b.rounds(previous);
+        let mut b = BalancerHarness::new(settings_of_instance(seed, 100), seed, &servers);
+        b.update_endpoints(ListKind::Complete, &servers);
+        b.exchange_many(previous);
         b.now += S;
         let joining =
             (fleet..fleet + joined).map(|n| ServerEntry { started_at: b.now, ..server(n) });
         let draining = (0..drained).map(|n| with_health(n, Health::Draining));
-        b.servers(ListKind::Delta, &joining.chain(draining).collect::<Vec<_>>());
+        b.update_endpoints(ListKind::Delta, &joining.chain(draining).collect::<Vec<_>>());
         for _ in 0..20 {
             all += 1;
             b.now += 10 * MS;
-            to_warming += u32::from(b.round(0, 1.0).is_some_and(|to| to.0 >= fleet));
+            to_warming += u32::from(b.exchange(0, 1.0).is_some_and(|to| to.0 >= fleet));
         }
     }
     f64::from(to_warming) / f64::from(all)
@@ -296,11 +300,11 @@
     let (mut to_newest, mut all) = (0, 0);
     for seed in 0..100 {
         let listed: Vec<_> = (0..n).map(server).chain([newest.clone()]).collect();
-        let mut b = Bench::new(settings_of_instance(seed, 100), seed, &listed);
-        b.servers(ListKind::Complete, &listed);
+        let mut b = BalancerHarness::new(settings_of_instance(seed, 100), seed, &listed);
+        b.update_endpoints(ListKind::Complete, &listed);
         for _ in 0..20 {
             all += 1;
-            to_newest += u32::from(b.round(0, 1.0) == Some(newest.id));
+            to_newest += u32::from(b.exchange(0, 1.0) == Some(newest.id));
         }
     }
     let share = f64::from(to_newest) / f64::from(all);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -78,7 +78,7 @@
 }
 
 /// A balancer under test, its clock, and the requests sent through it.
-pub struct Bench {
+pub struct BalancerHarness {
     pub balancer: Balancer,
     /// The time at which the next event is handled.
     pub now: Micros,
@@ -92,15 +92,20 @@
     pub over_quota: bool,
 }
 
-impl Bench {
+impl BalancerHarness {
     /// A balancer that starts at [`START`] with a cached endpoint list of `servers`.
-    pub fn new(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Bench {
-        Bench::new_at(START, settings, seed, servers)
+    pub fn new(settings: Settings, seed: u64, servers: &[ServerEntry]) -> BalancerHarness {
+        BalancerHarness::new_at(START, settings, seed, servers)
     }
 
-    /// The same as [`Bench::new`], with a clock that starts at `now`.
-    pub fn new_at(now: Micros, settings: Settings, seed: u64, servers: &[ServerEntry]) -> Bench {
-        let mut bench = Bench {
+    /// The same as [`BalancerHarness::new`], with a clock that starts at `now`.
+    pub fn new_at(
+        now: Micros,
+        settings: Settings,
+        seed: u64,
+        servers: &[ServerEntry],
+    ) -> BalancerHarness {
+        let mut harness = BalancerHarness {
             balancer: Balancer::new(settings, seed, now),
             now,
             out: Vec::new(),
@@ -108,19 +113,19 @@
             affinity_key: 0,
             over_quota: false,
         };
-        bench.servers(ListKind::Cached, servers);
-        bench
+        harness.update_endpoints(ListKind::Cached, servers);
+        harness
     }
 
     /// Handles an event now and returns the actions.
-    pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event<'_>) -> Vec<Action> {
         self.balancer.handle(self.now, event, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
     /// Replaces or changes the endpoint list, depending on `kind`.
-    pub fn servers(&mut self, kind: ListKind, entries: &[ServerEntry]) -> Vec<Action> {
-        self.event(Event::EndpointUpdate { kind, entries })
+    pub fn update_endpoints(&mut self, kind: ListKind, entries: &[ServerEntry]) -> Vec<Action> {
+        self.handle_event(Event::EndpointUpdate { kind, entries })
     }
 
     /// Sends a request without a work hint.
@@ -140,7 +145,7 @@
     pub fn request_with(&mut self, class: usize, hint: Option<Micros>) -> (RequestId, Vec<Action>) {
         self.last_id += 1;
         let id = RequestId(self.last_id);
-        let out = self.event(Event::Request(NewRequest {
+        let out = self.handle_event(Event::Request(NewRequest {
             id,
             class,
             tenant: 0,
@@ -153,7 +158,7 @@
         (id, out)
     }
 
-    /// Ends an attempt after 20 ms with this outcome and a load report of `queue`.
+    /// Ends an attempt now with this outcome, a latency of 20 ms and a load report of `queue`.
     pub fn answer(
         &mut self,
         id: RequestId,
@@ -162,7 +167,7 @@
         outcome: Outcome,
         queue: f32,
     ) -> Vec<Action> {
-        self.event(Event::AttemptEnded(AttemptEnd {
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             server,
@@ -174,7 +179,7 @@
     }
 
     /// Sends one request and ends its first attempt with success 20 ms later. Returns the selected server, if any.
-    pub fn round(&mut self, class: usize, queue: f32) -> Option<ServerId> {
+    pub fn exchange(&mut self, class: usize, queue: f32) -> Option<ServerId> {
         let (id, out) = self.request(class);
         let to = sent(&out)?;
         self.now += 20 * MS;
@@ -183,10 +188,10 @@
     }
 }
 
-impl Bench {
+impl BalancerHarness {
     /// Ends the first attempt of a request with success; its response took `latency`.
     pub fn answer_after(&mut self, latency: Micros, id: RequestId, server: ServerId, queue: f32) {
-        self.event(Event::AttemptEnded(AttemptEnd {
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
             id,
             attempt: 0,
             server,
@@ -198,9 +203,9 @@
     }
 
     /// Sends `count` requests of class 0 one after the other, each answered after 20 ms.
-    pub fn rounds(&mut self, count: usize) {
+    pub fn exchange_many(&mut self, count: usize) {
         for _ in 0..count {
-            self.round(0, 1.0);
+            self.exchange(0, 1.0);
         }
     }
 }
