--- a/tests/lifecycle/body_memory.rs
+++ b/tests/lifecycle/body_memory.rs
@@ -10,7 +10,7 @@
 
 /// The number of streamed bodies for which a memory limit of 16 MB has room.
 const LONG_BODIES: usize = 42;
-/// The length in bytes of a buffered body that takes the room left beside them.
+/// The length in bytes of a buffered body that takes the memory left beside [`LONG_BODIES`] streamed ones.
 const FILLING_BODY: usize = 65_536;
 /// The number of such buffered bodies that leave too little memory for another one.
 const FILLING_BODIES: usize = 85;
@@ -47,7 +47,7 @@
     let long = |n| order_of(&sidecar, &format!("long-{n}"), 20_000, 200_000, 70_000);
     let _long: Vec<_> = (0..LONG_BODIES).map(long).collect();
     let _filling = order_of(&sidecar, "filling", 20_000, FILLING_BODY, FILLING_BODY);
-    until("all others have their memory", || sidecar.state()["open"] == LONG_BODIES + 1);
+    until("all other bodies have their memory", || sidecar.state()["open"] == LONG_BODIES + 1);
     let waiting = order_of(&sidecar, "waiting", 300, WAITING_BODY, WAITING_BODY);
     let answer = first_answer(waiting);
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
@@ -62,7 +62,7 @@
     let filling =
         |n| order_of(&sidecar, &format!("filling-{n}"), 20_000, FILLING_BODY, FILLING_BODY);
     let _filling: Vec<_> = (0..FILLING_BODIES).map(filling).collect();
-    until("all others have their memory", || sidecar.state()["open"] == FILLING_BODIES);
+    until("all other bodies have their memory", || sidecar.state()["open"] == FILLING_BODIES);
     let waiting = order_of(&sidecar, "waiting", 2500, WAITING_BODY, WAITING_BODY);
     std::thread::sleep(std::time::Duration::from_millis(100));
     begin_shutdown(&sidecar);
--- a/tests/lifecycle/connecting.rs
+++ b/tests/lifecycle/connecting.rs
@@ -20,7 +20,7 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a free port");
-    socket.listen(0).expect("it listens");
+    socket.listen(0).expect("the socket listens");
     socket.into()
 }
 
@@ -41,13 +41,13 @@
     /// Creates a server from a listener whose accept queue is empty and holds one connection.
     fn of(listener: TcpListener) -> UnacceptingServer {
         let at = listener.local_addr().expect("bound");
-        let filler = TcpStream::connect(at).expect("one fits in");
+        let filler = TcpStream::connect(at).expect("the accept queue has room for one connection");
         UnacceptingServer { at, listener: Some(listener), _filler: filler, seen: Arc::default() }
     }
 
     /// Returns the number of connections to the server that are not established yet (state SYN_SENT).
     fn pending_connections(&self) -> usize {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         let to = format!("0100007F:{:04X}", self.at.port());
         let fields = table.lines().map(|l| l.split_whitespace().collect::<Vec<_>>());
         fields.filter(|f| f.len() > 3 && f[2] == to && f[3] == "02").count()
@@ -56,7 +56,7 @@
     /// Starts to accept connections, and responds to each request with its id.
     fn start_accepting(&mut self) {
         let seen = self.seen.clone();
-        serve(self.listener.take().expect("it has not accepted so far"), move |head, socket| {
+        serve(self.listener.take().expect("not accepting yet"), move |head, socket| {
             let id = request_id(head);
             seen.lock().expect("no panic").push(id.clone());
             socket.write_all(answer(&id).as_bytes()).is_ok()
@@ -85,7 +85,7 @@
     registry.set_health(&Entry::new(unaccepting.at, "a").host, "leaving");
     registry.update(Entry::new(healthy.at, "a"));
     let mut n = 0;
-    until("the list is known", || {
+    until("the new endpoint list is applied", || {
         n += 1;
         let request = get_request(&format!("look{n}")).replace("Ms: 20000", "Ms: 500");
         sidecar.exchange(&request).contains("200 OK")
@@ -144,14 +144,14 @@
     first.write_all(request_with_key("first").as_bytes()).expect("sent");
     let (mut idle, _) = listener.accept().expect("the sidecar connects");
     let mut read = BufReader::new(idle.try_clone().expect("a second handle"));
-    read_message(&mut read).expect("the first");
+    read_message(&mut read).expect("the first request");
     idle.write_all(answer("first").as_bytes()).expect("sent");
     assert!(first_answer(first).ends_with("\r\n\r\nfirst"));
     let mut unaccepting = UnacceptingServer::of(listener);
     thread::sleep(CONNECTION_IDLE_TIME);
     let mut second = sidecar.connect();
     second.write_all(request_with_key("second").as_bytes()).expect("sent");
-    read_message(&mut read).expect("the second");
+    read_message(&mut read).expect("the second request");
     drop((read, idle));
     second.set_nonblocking(true).expect("set");
     let mut failed = false;
@@ -223,7 +223,7 @@
         ("odd chunks", nonstandard_chunks),
         ("long", long_order),
     ];
-    let mut left = Vec::new();
+    let mut half_closed = Vec::new();
     let mut waiting = Vec::new();
     for how in DISCONNECTS {
         for (kind, text) in kinds {
@@ -232,13 +232,13 @@
             let text = text(&id).replace("Ms: 20000", "Ms: 150000");
             socket.write_all(text.as_bytes()).expect("sent");
             waiting.push((how, socket));
-            until("its connection is requested", || {
+            until("the sidecar connects for the request", || {
                 unaccepting.pending_connections() >= waiting.len()
             });
         }
     }
     for (how, socket) in waiting {
-        left.extend(disconnect(how, socket));
+        half_closed.extend(disconnect(how, socket));
     }
     let disconnected_at = Instant::now();
     until("all disconnects are detected", || {
@@ -256,7 +256,7 @@
     let answer = first_answer(last);
     assert!(answer.ends_with("\r\n\r\nlast"), "{answer:?}");
     assert_eq!(unaccepting.seen(), ["last"]);
-    drop(left);
+    drop(half_closed);
 }
 
 fn discovery_at(at: SocketAddr) -> Registry {
@@ -282,13 +282,13 @@
     let limit = 14;
     let admitted: Vec<_> =
         (0..limit).map(|n| blocked.receives_order(&sidecar, &format!("admitted{n}"))).collect();
-    let mut left = Vec::new();
+    let mut half_closed = Vec::new();
     for how in DISCONNECTS {
         for (kind, text) in [("look", get_request as RequestText), ("order", order_request)] {
             let id = format!("{kind} {how}").replace(' ', "-");
             let mut socket = sidecar.connect();
             socket.write_all(text(&id).as_bytes()).expect("sent");
-            left.extend(disconnect(how, socket));
+            half_closed.extend(disconnect(how, socket));
         }
     }
     let mut last = sidecar.connect();
--- a/tests/lifecycle/draining.rs
+++ b/tests/lifecycle/draining.rs
@@ -23,8 +23,8 @@
 const OBSERVATION_TIME: Duration = Duration::from_millis(1800);
 /// Time without faults between two changes.
 const FAULT_FREE_TIME: Duration = Duration::from_millis(400);
-/// Increase of that time, and of the time without responses, with each change, so that each change occurs at another
-/// phase of the calls.
+/// Increase of [`FAULT_FREE_TIME`] and of [`AgentFault::silence`] with each change, so that each change occurs at
+/// another phase of the calls.
 const PHASE_STEP: Duration = Duration::from_millis(170);
 
 const fn milliseconds(ms: u64) -> Duration {
@@ -36,16 +36,16 @@
 struct AgentFault {
     /// Time before the change during which the agent answers no call.
     silence: Duration,
-    /// Whether the agent accepts no connections during that time either.
+    /// Whether the agent accepts no connections during `silence` either.
     accepts_nothing: bool,
     /// Time before the change at which all open connections fall silent, while new ones are answered; `None` if they do
     /// not.
     stale_connections: Option<Duration>,
-    /// From then on, the delay of each answer.
+    /// The delay of each answer, from the end of `silence` until the end of the observation.
     answer_delay: Duration,
-    /// From then on, the delay from accepting a connection to reading from it.
+    /// The delay from accepting a connection to reading from it, during the same time.
     first_read_delay: Duration,
-    /// From then on, the delay from the first half of each answer to the second.
+    /// The delay from the first half of each answer to the second, during the same time.
     pause_within_answer: Duration,
 }
 
@@ -122,7 +122,7 @@
                 while !stopped.load(Ordering::Relaxed) {
                     let id = format!("look{}", next.fetch_add(1, Ordering::Relaxed));
                     let mut socket = std::net::TcpStream::connect(sidecar).expect("connected");
-                    socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+                    socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
                     std::io::Write::write_all(&mut socket, get_request(&id).as_bytes())
                         .expect("sent");
                     assert!(first_answer(socket).ends_with(&id), "{id} is served");
@@ -190,8 +190,8 @@
     };
     let lags = LagWatch::start();
     let late = last_late_requests(fault, 4);
-    let held = late.iter().all(|&late| late <= GRACE);
-    assert!(held, "last requests at gone servers: {late:?}; {}", lags.longest());
+    let within_grace = late.iter().all(|&late| late <= GRACE);
+    assert!(within_grace, "last requests at gone servers: {late:?}; {}", lags.longest());
 }
 
 /// The grace also holds if open connections fall silent while new ones are answered, if connections are read late, and
@@ -250,7 +250,7 @@
     let runs: Vec<_> = faults.iter().map(run).collect();
     for (fault, run) in faults.iter().zip(runs) {
         let late = run.join().expect("the run ends");
-        let held = late.iter().all(|&late| late <= GRACE);
-        assert!(held, "{late:?} with {fault:?}; {}", lags.longest());
+        let within_grace = late.iter().all(|&late| late <= GRACE);
+        assert!(within_grace, "{late:?} with {fault:?}; {}", lags.longest());
     }
 }
--- a/tests/lifecycle/reload.rs
+++ b/tests/lifecycle/reload.rs
@@ -15,7 +15,7 @@
     sidecar.replace_config(&config.to_string());
     sidecar.signal("HUP");
     let invalid_key = "classes[2].deadline";
-    until("the key is named", || {
+    until("the invalid key is logged", || {
         sidecar
             .log()
             .lines()
@@ -42,7 +42,7 @@
     config["discovery"] = json!(moved.at.to_string());
     sidecar.replace_config(&config.to_string());
     sidecar.signal("HUP");
-    until("it is rejected", || sidecar.log().contains("only discovery applied"));
+    until("the configuration is rejected", || sidecar.log().contains("only discovery applied"));
     let mut n = 0;
     until("the new list is applied", || {
         n += 1;
@@ -102,13 +102,13 @@
     let mut config = sidecar.config().clone();
     config["limits"]["sockets"] = 64.into();
     apply_config(&sidecar, &config);
-    // From now on the first server takes no new requests; its connections are idle.
+    // The new server needs connections. Those to the first server took more descriptors than the new limit leaves.
     registry.update(Entry::new(other.at, "a"));
     let mut answers = Vec::new();
     for n in 0..40 {
         let request = get_request(&format!("look-{n}")).replace("Ms: 20000", "Ms: 2000");
         answers.push(sidecar.exchange(&request).contains("200 OK"));
     }
-    assert!(!other.seen().is_empty(), "the new server gets its share");
+    assert!(!other.seen().is_empty(), "the new server got no requests");
     assert!(answers.iter().all(|&served| served), "{answers:?}");
 }
--- a/tests/lifecycle/resting_connections.rs
+++ b/tests/lifecycle/resting_connections.rs
@@ -197,7 +197,9 @@
             client
         })
         .collect();
-    until("some are evicted", || clients.iter().filter(|client| has_ended(client)).count() >= 8);
+    until("some connections are evicted", || {
+        clients.iter().filter(|client| has_ended(client)).count() >= 8
+    });
     for client in clients.into_iter().filter(has_ended) {
         let answer = first_answer(client);
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
@@ -206,7 +208,7 @@
 
 /// Sends a request on an idle connection `after` its timeout, and returns the response; `None` if the connection had
 /// been closed, or may have been closed while the request was sent.
-fn answer_at_the_end(sidecar: &Sidecar, n: usize, after: Duration) -> Option<String> {
+fn answer_after_idle_timeout(sidecar: &Sidecar, n: usize, after: Duration) -> Option<String> {
     let mut client = sidecar.connect();
     client.write_all(get_request(&format!("first-{n}")).as_bytes()).expect("sent");
     let first = first_answer(client.try_clone().expect("a second handle"));
@@ -237,7 +239,7 @@
         let start = |n: usize| {
             let after = LONGEST_DELAY * n as u32 / CONNECTIONS as u32;
             let sidecar = &sidecar;
-            scope.spawn(move || (n, answer_at_the_end(sidecar, n, after)))
+            scope.spawn(move || (n, answer_after_idle_timeout(sidecar, n, after)))
         };
         let threads: Vec<_> = (0..CONNECTIONS).map(start).collect();
         threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
--- a/tests/lifecycle/second_answers.rs
+++ b/tests/lifecycle/second_answers.rs
@@ -443,9 +443,9 @@
         let next = format!("next-{class:?}");
         let (head, body) = exchange(class.request(&next));
         assert!(head.starts_with("HTTP/1.1 200") && body == next, "{head}{body}");
-        client.set_read_timeout(Some(2 * SERVER_TIME)).expect("a time");
+        client.set_read_timeout(Some(2 * SERVER_TIME)).expect("a read timeout");
         let more = reader.fill_buf().map(<[u8]>::len);
-        assert!(more.is_err(), "{more:?} bytes more, or an end");
+        assert!(more.is_err(), "the client got {more:?} more bytes, or the connection was closed");
     }
 }
 
@@ -639,7 +639,5 @@
     socket.write_all(answer("first").as_bytes()).expect("sent");
     thread::sleep(HOLD_UP / 2);
     drop(hold_up);
-    until("the second answer is noticed", || {
-        sidecar.log().contains("server sent unexpected bytes")
-    });
+    until("the second answer is logged", || sidecar.log().contains("server sent unexpected bytes"));
 }
--- a/tests/lifecycle/shutdown.rs
+++ b/tests/lifecycle/shutdown.rs
@@ -43,7 +43,8 @@
     assert!(sidecar.wait_for_exit().success());
 }
 
-/// A request arrives on an open connection so late that its own time is longer than that of the process.
+/// Clients can still connect and send requests during a shutdown. This request arrives so late that its own deadline is
+/// later than the exit of the process.
 #[test]
 fn late_request_is_answered_before_the_process_exits() {
     let blocked = BlockedServer::new();
@@ -57,8 +58,8 @@
     let late = blocked.receives_order(&sidecar, "late");
     // The server gets the remaining time of the process: 4.7 s minus the 0.9 s that have passed.
     let heads = blocked.server.heads();
-    let time_left = header(heads.last().expect("the late one"), "x-time-left-ms");
-    let time_left: u64 = time_left.and_then(|t| t.parse().ok()).expect("a time");
+    let time_left = header(heads.last().expect("the head of the late request"), "x-time-left-ms");
+    let time_left: u64 = time_left.and_then(|t| t.parse().ok()).expect("a number of milliseconds");
     assert!(time_left <= 3800, "{time_left} ms");
     assert!(first_answer(first).starts_with("HTTP/1.1 502"));
     let answer = first_answer(late);
@@ -102,14 +103,14 @@
     small.set_recv_buffer_size(4096).expect("set");
     small.connect(&sidecar.at.into()).expect("connected");
     let mut open = TcpStream::from(small);
-    open.set_read_timeout(Some(PATIENCE)).expect("a time");
+    open.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     open.write_all(order_request("open").as_bytes()).expect("sent");
     assert_eq!(blocked.next_request(), "open");
     begin_shutdown(&sidecar);
     // After this time a process without requests in progress exits at once.
     thread::sleep(Duration::from_millis(800));
     blocked.release();
-    open.peek(&mut [0]).expect("it begins");
+    open.peek(&mut [0]).expect("the response begins");
     thread::sleep(Duration::from_millis(100));
     open.write_all(b"more").expect("sent");
     let answer = read_to_end(open);
@@ -130,7 +131,7 @@
     thread::sleep(Duration::from_millis(800));
     let mut n = 0;
     // Repeated because the machine may be slow and the program checks every 10 ms.
-    until("one that sends its request after a while is answered", || {
+    until("a connection that sends its request after a while gets a response", || {
         n += 1;
         let mut late = sidecar.connect();
         thread::sleep(Duration::from_millis(30));
@@ -157,7 +158,7 @@
     let _ = client.write_all(second.as_bytes());
     client.set_nonblocking(true).expect("set");
     let mut sent = false;
-    until("it is sent to a server, or closed", || {
+    until("the request is sent to a server, or its connection is closed", || {
         sent = blocked.received.try_recv().is_ok();
         sent || !client.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     });
@@ -231,7 +232,7 @@
             let mut unanswered = Vec::new();
             for n in 0.. {
                 let Ok(mut client) = TcpStream::connect(at) else { break };
-                client.set_read_timeout(Some(PATIENCE)).expect("a time");
+                client.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
                 let id = format!("{number}-{n}");
                 // If writing fails, the connection was closed before the whole request was sent.
                 if client.write_all(order_request(&id).as_bytes()).is_ok()
@@ -290,7 +291,7 @@
     // The listener is closed 1.395 s after the signal, and the process exits 0.3 s later.
     wait_until(1300);
     let mut late = TcpStream::connect(sidecar.at).ok()?;
-    late.set_read_timeout(Some(PATIENCE)).expect("a time");
+    late.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     wait_until(1330);
     let hold_up = HoldUp::begin(&sidecar);
     late.set_nonblocking(true).expect("set");
--- a/tests/lifecycle/support.rs
+++ b/tests/lifecycle/support.rs
@@ -59,7 +59,7 @@
 /// Requests a graceful shutdown and waits until it has begun.
 pub fn begin_shutdown(sidecar: &Sidecar) {
     sidecar.signal("TERM");
-    until("it drains", || sidecar.state()["draining"] == true);
+    until("the sidecar drains", || sidecar.state()["draining"] == true);
 }
 
 /// Sets a class's latency objective and deadline, in milliseconds.
--- a/tests/lifecycle/system_calls.rs
+++ b/tests/lifecycle/system_calls.rs
@@ -29,7 +29,7 @@
 /// Reads a counter with the admin command `show-events`.
 fn event_count(sidecar: &Sidecar, name: &str) -> u64 {
     let mut socket = TcpStream::connect(sidecar.admin()).expect("connected");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a read timeout");
     socket.write_all(b"show-events\n").expect("written");
     let mut all = String::new();
     let _ = socket.read_to_string(&mut all);
@@ -163,7 +163,7 @@
 fn joining_server_warms_up_with_a_wall_clock_that_is_wrong() {
     for seconds_ahead in [0, 3600, -3600] {
         let share = share_of_joining_server(seconds_ahead);
-        // It is one of five servers, with a fifth of its capacity. The settings allow three times that share.
+        // One of five servers at a fifth of its capacity has a share of 0.04. The settings allow three times that.
         assert!(share < 0.12, "{share} with the clock {seconds_ahead} s ahead");
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -406,7 +406,7 @@
 /// between keep them from being ejected, and their few requests in flight make them look least loaded.
 #[test]
 fn non_idempotent_requests_avoid_servers_that_fail() {
-    let some_fail = || {
+    let start_partly_failing = || {
         let count = AtomicUsize::new(0);
         Server::start(move |id, socket| {
             let bad = count.fetch_add(1, Ordering::Relaxed) % 3 == 2;
@@ -415,7 +415,7 @@
             socket.write_all(answer.as_bytes()).is_ok()
         })
     };
-    let bad = [some_fail(), some_fail(), some_fail()];
+    let bad = [start_partly_failing(), start_partly_failing(), start_partly_failing()];
     let good = [Server::echo(), Server::echo(), Server::echo()];
     let all: Vec<&Server> = bad.iter().chain(&good).collect();
     let sidecar = Sidecar::start(discovery(&all));
@@ -440,7 +440,7 @@
 /// Guards against idle client connections that use up the connection limit: with many clients that send one request
 /// and keep their connection open, half of the requests got no connection.
 #[test]
-fn idle_connections_are_evicted_early_among_many() {
+fn idle_connections_are_evicted_early_when_many_are_open() {
     let server = Server::echo();
     let sidecar = Sidecar::start(discovery(&[&server]));
     // Of 64 sockets, 14 are for clients. The test has five rounds, since a hold-up of a second fails a round.
@@ -457,7 +457,8 @@
             thread::sleep(Duration::from_millis(110));
         }
         let mut byte = [0];
-        let closed = held[0].read(&mut byte).expect("closed in order") == 0;
+        let closed =
+            held[0].read(&mut byte).expect("the connection is closed without a reset") == 0;
         closed && start.elapsed() < Duration::from_millis(2300)
     });
     assert!(closed_early, "idle connections were kept for the whole timeout");
