--- a/tests/lifecycle/idle_close.rs
+++ b/tests/lifecycle/idle_close.rs
@@ -7,7 +7,7 @@
 
 use crate::net::*;
 
-/// Number of connections. With 64 descriptors, the ones that have been idle longest are evicted above four.
+/// Number of connections. With 64 descriptors, the longest idle ones are evicted while more than four are open.
 const CONNECTIONS: usize = 8;
 /// Longer than the minimum idle time after which a used connection may be evicted.
 const EVICTABLE_AFTER: Duration = Duration::from_millis(200);
@@ -54,8 +54,9 @@
     assert_eq!(unanswered, Vec::<String>::new());
 }
 
-/// Time for which a new connection is kept for its first request, below the sidecar's minimum of 20 ms.
-const KEPT_UNUSED: Duration = Duration::from_millis(15);
+/// Time from connecting within which a first request counts as sent at once; less than the 20 ms for which the sidecar
+/// keeps a new connection in any case.
+const MAX_FIRST_REQUEST_DELAY: Duration = Duration::from_millis(15);
 
 /// More clients connect at the same time than the connection budget allows, and each sends its request at once.
 #[test]
@@ -71,7 +72,7 @@
         for (n, (connected, client)) in clients.iter_mut().enumerate() {
             let id = format!("new-{round}-{n}");
             let written = client.write_all(get_request(&id).as_bytes());
-            if connected.elapsed() < KEPT_UNUSED {
+            if connected.elapsed() < MAX_FIRST_REQUEST_DELAY {
                 sent_at_once += 1;
                 sent.push((n, id, written.is_ok()));
             }
--- a/tests/lifecycle/rejections.rs
+++ b/tests/lifecycle/rejections.rs
@@ -205,7 +205,8 @@
     found
 }
 
-/// Sends an order. Returns what its client and the servers saw if the order was executed twice, or could be.
+/// Sends an unsafe request that `request` makes. Returns what its client and the servers saw, unless one server got it
+/// once and its client got a response that does not allow a repeat.
 fn unsafe_repeat(
     rejecting: &Rejecting,
     request: fn(&str) -> String,
--- a/tests/lifecycle/shutdown.rs
+++ b/tests/lifecycle/shutdown.rs
@@ -130,7 +130,7 @@
     begin_shutdown(&sidecar);
     thread::sleep(Duration::from_millis(800));
     let mut n = 0;
-    // Repeated because the machine may be slow and the program checks every 10 ms.
+    // Repeated because the machine may be slow and a shutdown closes idle connections every 10 ms.
     until("a connection that sends its request after a while gets a response", || {
         n += 1;
         let mut late = sidecar.connect();
--- a/tests/lifecycle/system_calls.rs
+++ b/tests/lifecycle/system_calls.rs
@@ -163,7 +163,8 @@
 fn joining_server_warms_up_with_a_wall_clock_that_is_wrong() {
     for seconds_ahead in [0, 3600, -3600] {
         let share = share_of_joining_server(seconds_ahead);
-        // One of five servers at a fifth of its capacity has a share of 0.04. The settings allow three times that.
+        // One of five servers at a fifth of its capacity (`coldShare`) has a share of 0.04. The settings allow
+        // three times that (`fallMultiple`).
         assert!(share < 0.12, "{share} with the clock {seconds_ahead} s ahead");
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -402,8 +402,8 @@
     assert!(later >= 40, "{later} of 120 requests at the idle server");
 }
 
-/// Guards against preferring servers that fail some of their requests at once, for example a quarter: successes in
-/// between keep them from being ejected, and their few requests in flight make them look least loaded.
+/// Guards against preferring servers that fail some of their requests at once, for example a quarter, or a third here:
+/// successes in between keep them from being ejected, and their few requests in flight make them look least loaded.
 #[test]
 fn non_idempotent_requests_avoid_servers_that_fail() {
     let start_partly_failing = || {
