--- a/src/sidecar/driver/attempts.rs
+++ b/src/sidecar/driver/attempts.rs
@@ -65,8 +65,8 @@
         P::spawn(self.clone().run_attempt(id, dispatch));
     }
 
-    /// Counts a retry, and logs it if repeating the request requires proof that it was not executed and some earlier
-    /// attempt reached a server.
+    /// Counts a retry. Logs it if the request must not simply be repeated and, by an earlier attempt, a server may have
+    /// executed it or has said that it has not.
     fn log_retry(&self, id: AttemptId) {
         let state = self.state.borrow();
         let Some(request) = state.requests.get(&id.request) else { return };
--- a/src/sidecar/driver/requests.rs
+++ b/src/sidecar/driver/requests.rs
@@ -61,8 +61,8 @@
 
 /// Logs that a request ends without a server's response.
 ///
-/// The level is `info` if repeating the request requires proof that it was not executed and some attempt reached a
-/// server, otherwise `debug`.
+/// The level is `info` if the request must not simply be repeated and a server may have executed it or has said that it
+/// has not. It is `debug` if every attempt ended before the request was sent in full, or if a repeat needs no proof.
 fn log_end(request: &InFlightRequest, outcome: &RequestOutcome, reason: EndReason) {
     let id = request.correlation_id();
     let (answer, reason, attempts) = (outcome.name(), reason.name(), request.attempts.len());
