--- a/crates/fakes/src/account.rs
+++ b/crates/fakes/src/account.rs
@@ -22,7 +22,8 @@
 const MAX_EXAMPLES: usize = 20;
 /// The time after a kill within which the process's connections may still end.
 const KILL_GRACE: Duration = Duration::from_secs(3);
-/// The time after a process was resumed within which its requests may time out: the longest deadline, scaled.
+/// The time after a process was resumed within which its requests may time out. It covers the longest deadline of the
+/// classes, 2 s, up to a time scale of 2.5.
 const PAUSE_GRACE: Duration = Duration::from_secs(5);
 /// The time after the client's response within which an attempt in flight may still arrive at a server.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
@@ -290,7 +291,9 @@
         if time_left > left + TIME_LEFT_SLACK && !inner.transit_delays {
             inner.counts.excess_time_left += 1;
             let (told, left) = (time_left.as_millis(), left.as_millis());
-            inner.add_example(format!("{request_id} told {server} {told} ms left, of {left} ms"));
+            inner.add_example(format!(
+                "{request_id} stated {told} ms left to {server}, but its client had {left} ms"
+            ));
         }
     }
 
@@ -357,7 +360,8 @@
         self.operations.get_mut(&id.operation)?.attempts.get_mut(usize::from(id.number))
     }
 
-    /// Counts an attempt that arrives at a server after its client has stopped waiting. `arrival` describes the event.
+    /// Counts an attempt that arrives at a server too long after its client has left or got the response. `arrival`
+    /// describes the event.
     fn check_arrival(&mut self, outcome: Option<(Outcome, Instant)>, now: Instant, arrival: &str) {
         if !self.transit_delays {
             self.check_client_present(outcome, now, arrival);
--- a/crates/fault-injection/src/gossip_relay.rs
+++ b/crates/fault-injection/src/gossip_relay.rs
@@ -22,7 +22,7 @@
 
 /// The maximum number of delayed datagrams at a time. Further ones are dropped.
 const MAX_DELAYED: usize = 65_536;
-/// The maximum length of a datagram in bytes. A longer one is truncated when read, and so lost.
+/// The maximum length of a datagram in bytes. A longer one would be forwarded truncated; gossip messages are shorter.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// The datagram counts of all links since the start.
--- a/crates/fault-injection/src/soak.rs
+++ b/crates/fault-injection/src/soak.rs
@@ -3,7 +3,8 @@
 //!
 //! A run passes if no request was lost, answered twice or too late, executed twice, or sent to a server that must not
 //! get it; if no process exited unexpectedly, reported a violated rule, or took too long to shut down; and if, after
-//! the last fault, nearly all requests are served and no sidecar exceeds its resource limits.
+//! the last fault, nearly all requests are served, no sidecar exceeds its resource limits, and none still counts ended
+//! requests as in progress.
 
 use std::time::Duration;
 
--- a/crates/lbctl/src/table.rs
+++ b/crates/lbctl/src/table.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Prints the number of violations of each rule, and examples.
+/// Prints the numbers of lost, timed out and duplicated requests and of some other violations, with examples.
 pub fn rules(report: &Report) {
     println!("lost                            {:>5}", report.lost);
     println!("lost by killed processes        {:>5}", report.lost_by_kill);
--- a/crates/scale-test/src/cluster.rs
+++ b/crates/scale-test/src/cluster.rs
@@ -262,7 +262,8 @@
     Ok(reserved.iter().map(|port| port.address).collect())
 }
 
-/// Starts a relay from a control server to each origin.
+/// Starts a relay from a control server to each origin. On the network, the control server is the sidecar node of the
+/// same number, and the origins are the discovery node.
 fn start_relays(
     network: &Network,
     control_server: usize,
--- a/crates/scale-test/src/hollow.rs
+++ b/crates/scale-test/src/hollow.rs
@@ -135,7 +135,7 @@
     })
 }
 
-/// Returns a receiver whose value becomes true when standard input ends.
+/// Returns a receiver whose value becomes true when standard input ends. A further line of input has the same effect.
 fn watch_input_end() -> watch::Receiver<bool> {
     let (ended, receiver) = watch::channel(false);
     std::thread::spawn(move || {
--- a/crates/scale-test/src/hollow/sidecar.rs
+++ b/crates/scale-test/src/hollow/sidecar.rs
@@ -42,7 +42,7 @@
 pub(super) struct Membership(Rc<GossipMembership<TokioRuntime>>);
 
 impl Membership {
-    /// Returns whether the sidecar knows all of its peers.
+    /// Returns whether the sidecar knows as many live members as it estimates that its gossip group has.
     pub fn is_complete(&self) -> bool {
         let snapshot = self.0.snapshot();
         snapshot.members.alive as f64 >= snapshot.reachable_members.round().max(MIN_MEMBERS)
--- a/crates/scale-test/src/runner.rs
+++ b/crates/scale-test/src/runner.rs
@@ -12,7 +12,8 @@
 use crate::plan::Plan;
 use crate::report::Report;
 
-/// The time within which the first change must be published and in force everywhere.
+/// The time within which the first change must be published, and again the time within which it must then be in force
+/// everywhere.
 pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(120);
 /// The number of further sidecars with the first change after which progress is reported.
 const PROGRESS_STEP: usize = 500;
--- a/crates/simnet/src/hold_up.rs
+++ b/crates/simnet/src/hold_up.rs
@@ -9,7 +9,8 @@
 use crate::state::{Event, WorldState};
 
 impl WorldState {
-    /// Stops the processes of a host for `duration`. Has no effect on a host that is already held up.
+    /// Stops the processes of a host for `duration`. Has no effect on a host that is already held up, or whose event
+    /// loop has not yet reported the input of the last hold-up.
     pub(crate) fn hold_up(&mut self, host: HostId, duration: Duration) {
         if self.network.host_mut(host).event_loop == EventLoop::Running {
             self.network.set_event_loop(host, EventLoop::HeldUp);
--- a/crates/simnet/src/link.rs
+++ b/crates/simnet/src/link.rs
@@ -16,7 +16,7 @@
     pub window: usize,
     /// The probability that a read or a write transfers only part of the bytes.
     pub partial_io: f64,
-    /// The probability that a segment arrives only after a retransmission.
+    /// The probability that a segment or datagram arrives late by the timeout of a retransmission.
     pub segment_loss: f64,
     /// The probability that a reset overtakes the bytes in flight, which are then lost.
     pub reset_overtakes: f64,
--- a/crates/simnet/src/network.rs
+++ b/crates/simnet/src/network.rs
@@ -17,9 +17,9 @@
     pub connections_established: u64,
     /// Connections that were refused.
     pub connections_refused: u64,
-    /// SYNs that were dropped without an answer.
+    /// SYNs that were dropped in transit or by an unreachable host. Those that a full backlog drops do not count.
     pub syns_dropped: u64,
-    /// Resets that were sent.
+    /// Resets that were sent by an end or injected at both ends.
     pub resets: u64,
     /// Bytes that were written to connections.
     pub bytes_written: u64,
@@ -29,7 +29,7 @@
     pub segments_lost: u64,
     /// Resets that overtook bytes in flight.
     pub resets_reordered: u64,
-    /// Bytes that were lost on blackholed connections.
+    /// Bytes that were sent into blackholed connections. Those in flight when the blackhole began do not count.
     pub bytes_blackholed: u64,
     /// Datagrams that were lost.
     pub datagrams_lost: u64,
