--- a/src/sidecar/discovery/schedule.rs
+++ b/src/sidecar/discovery/schedule.rs
@@ -144,6 +144,9 @@
 
     /// Cancels calls that are older than the grace period, except for the oldest one and one for each further grace
     /// period: lists of an agent that needs longer than that to respond still arrive, if late.
+    ///
+    /// If [`MAX_CALLS`] are still in flight, cancels one more: of those after the oldest, the first whose response is
+    /// not being received.
     fn cancel_old(&mut self, now: Instant, is_receiving: impl Fn(CallId) -> bool) -> Vec<CallId> {
         // If calls were cancelled earlier, no response that takes longer than the time between two calls could arrive.
         let grace = self.timing.grace;
