--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -205,12 +205,15 @@
         assert!(error.contains(key), "{error}");
     };
     rejects(|c| c["limits"]["sockets"] = 3.into(), "limits.sockets");
-    rejects(|c| c["tier"] = serde_json::json!({"turn_ms": 5}), "tier.turn_ms: 10 to 60000");
+    rejects(
+        |c| c["tier"] = serde_json::json!({"turn_ms": 5}),
+        "tier.turn_ms: must be between 10 and 60000, got",
+    );
     let large = |c: &mut Value| {
         c["tier"] = serde_json::json!({"turn_ms": 100});
         c["settings"]["instances"] = 8193.into();
     };
-    rejects(large, "settings.instances: 8192 at most");
+    rejects(large, "settings.instances: must be at most 8192 with");
     let out = Command::new(env!("CARGO_BIN_EXE_lb-sidecar")).arg("--version").output();
     let text = String::from_utf8(out.expect("the program starts").stdout).expect("text");
     assert_eq!(text, format!("lb-sidecar {}\n", env!("CARGO_PKG_VERSION")));
