--- a/src/sidecar/admin/connection.rs
+++ b/src/sidecar/admin/connection.rs
@@ -13,19 +13,19 @@
 pub enum ReadError {
     /// The connection was closed before the end of the line. An incomplete line is not executed: `disable-server s-1`
     /// may have been meant for `s-12`.
-    #[error("the connection was closed before the end of the line")]
+    #[error("the line did not end")]
     Incomplete,
     /// The line is not UTF-8.
-    #[error("the line is not UTF-8")]
+    #[error("text expected")]
     NotText,
     /// The line is longer than the maximum length.
     #[error("the line is too long")]
     TooLong,
     /// Reading failed.
-    #[error("the connection failed")]
+    #[error("the connection broke")]
     Broken,
     /// No complete line was received in time.
-    #[error("no complete line was received in time")]
+    #[error("a whole line expected")]
     TimedOut,
 }
 
--- a/src/sidecar/admin/state.rs
+++ b/src/sidecar/admin/state.rs
@@ -36,7 +36,7 @@
         name: String,
     },
     /// The maximum number of servers is disabled already.
-    #[error("{MAX_DISABLED_SERVERS} servers are already disabled")]
+    #[error("{MAX_DISABLED_SERVERS} servers are out already")]
     TooManyDisabled,
 }
 
