--- a/crates/config-distribution/tests/common/mod.rs
+++ b/crates/config-distribution/tests/common/mod.rs
@@ -51,7 +51,7 @@
         let mut command = Command::new(program);
         command.envs(env.iter().cloned());
         command.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log);
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("lb-config starts");
         let mut line = String::new();
         if arguments[0] != "host" {
             let out = child.stdout.take().expect("a pipe");
@@ -69,7 +69,7 @@
 
     pub fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("an id");
-        kill_process(pid, signal).expect("it is there");
+        kill_process(pid, signal).expect("the process exists");
     }
 }
 
--- a/crates/config-distribution/tests/control_server.rs
+++ b/crates/config-distribution/tests/control_server.rs
@@ -11,7 +11,7 @@
 fn host_receives_matching_documents_only() {
     let (mut origin, mut servers) = leading_origin(3);
     for text in ["*", "a", "a@z1", "a@z2", "b"] {
-        origin.publish(key(text), body(1)).expect("it leads");
+        origin.publish(key(text), body(1)).expect("the origin leads");
     }
     replicate(&mut origin, &mut servers);
     let server = &mut servers[0];
@@ -23,10 +23,10 @@
     assert_eq!((response.is_snapshot, keys), (true, expected));
     // A document that does not match changes: the host's request is still held.
     let next = watch_request("h1", interest(&["a"], "z1"), response.generation);
-    origin.publish(key("b"), body(2)).expect("it leads");
+    origin.publish(key("b"), body(2)).expect("the origin leads");
     replicate(&mut origin, &mut servers);
     assert!(servers[0].respond(&next, LongPoll::Waiting, Duration::ZERO).is_none());
-    origin.publish(key("a@z1"), None).expect("it is there");
+    origin.publish(key("a@z1"), None).expect("the document to delete exists");
     replicate(&mut origin, &mut servers);
     let response = servers[0].respond(&next, LongPoll::Waiting, Duration::ZERO).expect("a change");
     assert_eq!((response.is_snapshot, response.documents.len()), (false, 1));
--- a/crates/config-distribution/tests/decisions.rs
+++ b/crates/config-distribution/tests/decisions.rs
@@ -41,7 +41,7 @@
     let refused = simulation.origins[0].publish(key("s0"), body(1));
     assert!(matches!(refused, Err(PublishError::NotLeading { .. })), "{refused:?}");
     settle(&mut simulation, 0);
-    let first = simulation.origins[0].publish(key("s0"), body(1)).expect("it leads");
+    let first = simulation.origins[0].publish(key("s0"), body(1)).expect("the first origin leads");
     let same = simulation.origins[0].publish(key("s0"), body(1));
     assert_eq!(same, Ok(first), "an equal body makes no change");
     settle(&mut simulation, 0);
@@ -49,13 +49,16 @@
     settle(&mut simulation, 1);
     // The first origin does not know of the second one yet and orders another change, which no member accepts.
     let late = simulation.origins[0].publish(key("s0"), body(2));
-    assert!(late.is_ok(), "it does not know yet");
+    assert!(late.is_ok(), "the first origin does not know of the second one yet");
     settle(&mut simulation, 0);
     assert!(matches!(simulation.origins[0].phase(), Phase::Superseded(_)));
     let refused = simulation.origins[0].publish(key("s0"), body(3));
     assert!(matches!(refused, Err(PublishError::Superseded { .. })), "{refused:?}");
     for member in &simulation.members {
         let documents = member.replica().select(&interest(&["s0"], "a"), 0).documents;
-        assert_eq!(documents[0].body.as_ref().expect("there").text(), r#"{"n":1}"#);
+        assert_eq!(
+            documents[0].body.as_ref().expect("the document has a body").text(),
+            r#"{"n":1}"#
+        );
     }
 }
--- a/crates/config-distribution/tests/faults.rs
+++ b/crates/config-distribution/tests/faults.rs
@@ -23,7 +23,7 @@
     hosts.wait_until_applied(1);
     cluster.wait_until_applied(0, first, 60);
     // The connections of the stopped server stay open and silent, those of the killed one are reset.
-    cluster.servers[0].as_ref().expect("there").signal(Signal::STOP);
+    cluster.servers[0].as_ref().expect("the server is running").signal(Signal::STOP);
     cluster.servers[1] = None;
     let second = cluster.publish(0, "a", &json!({"n": 2}));
     println!("applied after {:?} with two of five servers down", hosts.wait_until_applied(2));
@@ -31,7 +31,7 @@
     let unreachable = cluster.progress(0).unreachable_servers;
     assert_eq!(unreachable, ["c0", "c1"]);
     // Both servers come back, and so do their hosts, each of which is counted once.
-    cluster.servers[0].as_ref().expect("there").signal(Signal::CONT);
+    cluster.servers[0].as_ref().expect("the server is paused").signal(Signal::CONT);
     cluster.restart_server(1);
     let third = cluster.publish(0, "a", &json!({"n": 3}));
     hosts.wait_until_applied(3);
@@ -199,7 +199,7 @@
     let mut cluster = Cluster::start(3);
     let lose_disk = |cluster: &mut Cluster, n: usize| {
         cluster.servers[n] = None;
-        fs::remove_dir_all(cluster.state_dir(n)).expect("it had state");
+        fs::remove_dir_all(cluster.state_dir(n)).expect("the server has a state directory");
         cluster.restart_server(n);
     };
     cluster.publish(0, "a", &json!({"n": 1}));
@@ -251,7 +251,8 @@
     assert!(rejection("a", json!([1])).contains("object expected"));
     assert!(rejection("a b", json!({})).contains("SERVICE"));
     assert!(rejection("gone", json!(null)).contains("there is none"));
-    let document = cluster.request_origin(0, "/config/documents?key=a", None).expect("it is there");
+    let document =
+        cluster.request_origin(0, "/config/documents?key=a", None).expect("the document exists");
     assert_eq!(document["body"]["n"], 1);
 }
 
--- a/crates/config-distribution/tests/host.rs
+++ b/crates/config-distribution/tests/host.rs
@@ -25,7 +25,9 @@
         match host.next_action(now) {
             HostAction::Watch { server } => return (server, now),
             HostAction::Wait { until } => now = until,
-            HostAction::Apply(_) => panic!("nothing is to be applied"),
+            HostAction::Apply(_) => {
+                panic!("the host has an update to apply, but a watch was expected")
+            }
         }
     }
 }
@@ -89,7 +91,7 @@
         if server == preferred {
             break now;
         }
-        assert!(now < ms(60_000), "it never returns");
+        assert!(now < ms(60_000), "the host never returns to its preferred server");
     };
     assert!(returned_at > ms(10_000), "not at once: {returned_at:?}");
 }
--- a/crates/config-distribution/tests/hosts.rs
+++ b/crates/config-distribution/tests/hosts.rs
@@ -63,7 +63,7 @@
             .stdin(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("it starts");
+            .expect("the sidecar starts");
         let mut arguments: Vec<String> =
             ["host", "--name=s0", "--zone=utrecht", "--service=logbook"].map(str::to_owned).into();
         arguments.extend(cluster.member_arguments(None).iter().map(|m| format!("--control={m}")));
@@ -148,7 +148,7 @@
             sidecar.state()["generation"].as_u64() >= Some(first)
         });
         cluster.wait_until_applied(0, first, 1);
-        let applied_text = std::fs::read_to_string(&sidecar.config).expect("there");
+        let applied_text = std::fs::read_to_string(&sidecar.config).expect("a config file");
         assert!(
             applied_text.contains("1500000") && applied_text.contains(r#""sockets":200"#),
             "{applied_text}"
@@ -165,7 +165,7 @@
         });
         assert!(reason.starts_with("declined"), "{reason}");
         assert!(sidecar.log().contains("classes[2].deadline"), "the log names the key");
-        assert_eq!(std::fs::read_to_string(&sidecar.config).expect("there"), applied_text);
+        assert_eq!(std::fs::read_to_string(&sidecar.config).expect("a config file"), applied_text);
         // A change that only a new process could apply.
         let restart_only =
             json!({"settings": {"limits": {"maxRetryAfter": 1_500_000}, "zones": ["x", "y", "z"]}});
@@ -186,7 +186,7 @@
         );
         cluster.wait_until_applied(0, good, 1);
         assert_eq!(sidecar.state()["generation"].as_u64(), Some(good));
-        assert!(std::fs::read_to_string(&sidecar.base).expect("there").contains("2000000"));
+        assert!(std::fs::read_to_string(&sidecar.base).expect("the base file").contains("2000000"));
         let before = served.load(Relaxed);
         until("requests are still served", || served.load(Relaxed) > before + 20);
         drop(stop_requests);
@@ -202,7 +202,7 @@
     let plan = Plan { instances: 3, servers: 1, classes: classes(8.0), ..Plan::default() };
     let host = Host::start(Plan { rollout: "watch_s = 0.1\nshare = 1.0".into(), ..plan });
     let host = host.expect("a host");
-    host.wait_until_settled(PATIENCE).expect("it serves");
+    host.wait_until_settled(PATIENCE).expect("all instances serve in time");
     let cluster = Cluster::start(3);
     let base = host.file_path("settings-base.json");
     std::fs::copy(host.file_path("settings.json"), &base).expect("copied");
@@ -217,7 +217,7 @@
     let first = cluster.publish(0, "logbook", &limits(1_200_000));
     cluster.wait_until_applied(0, first, 1);
     assert!(host.is_settled());
-    let text = |path: PathBuf| std::fs::read_to_string(path).expect("there");
+    let text = |path: PathBuf| std::fs::read_to_string(path).expect("the file exists");
     assert!(text(host.file_path("settings.json")).contains("1200000"));
     // A change that the sidecar's check rejects, and one that sets more than the settings.
     cluster.publish(0, "logbook", &json!({"settings": {"limits": {"maxAttempts": "many"}}}));
@@ -248,7 +248,8 @@
     let origins = format!("--origin={},{}", cluster.origin_address(0), cluster.origin_address(1));
     let operator = |arguments: &[&str]| {
         let mut command = Command::new(&program);
-        let output = command.args(["config", &origins]).args(arguments).output().expect("it runs");
+        let output =
+            command.args(["config", &origins]).args(arguments).output().expect("lbctl runs");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (output.status.code(), text(&output.stdout), text(&output.stderr))
     };
--- a/crates/config-distribution/tests/support/behavior_hash.rs
+++ b/crates/config-distribution/tests/support/behavior_hash.rs
@@ -17,7 +17,7 @@
 impl BehaviorHash {
     /// Adds a value as JSON.
     pub fn add(&mut self, value: &impl Serialize) {
-        let text = serde_json::to_vec(value).expect("it can be sent");
+        let text = serde_json::to_vec(value).expect("the value can be written as JSON");
         for byte in text.into_iter().chain([0]) {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
--- a/crates/fakes/src/wire/tests.rs
+++ b/crates/fakes/src/wire/tests.rs
@@ -17,10 +17,10 @@
             drop(far);
         };
         let reading = async {
-            let first = reader.next().await.expect("sound").expect("there");
+            let first = reader.next().await.expect("valid HTTP").expect("a message");
             assert_eq!((first.path(), first.query("x")), ("/a/1", Some("2")));
             assert_eq!(first.body, b"abc");
-            assert!(reader.next().await.expect("sound").expect("there").body.is_empty());
+            assert!(reader.next().await.expect("valid HTTP").expect("a message").body.is_empty());
             assert!(reader.next().await.expect("a clean end").is_none());
         };
         tokio::join!(sending, reading);
@@ -33,8 +33,8 @@
     let body: Vec<u8> = (0..50u8).collect();
     let text = [&head[..], &encode_chunked(&body, 7), b"HTTP/1.1 204 No\r\n\r\n"].concat();
     let mut reader = Reader::new(&text[..]);
-    assert_eq!(reader.next().await.expect("sound").expect("there").body, body);
-    assert_eq!(reader.next().await.expect("sound").expect("there").status(), Some(204));
+    assert_eq!(reader.next().await.expect("valid HTTP").expect("a message").body, body);
+    assert_eq!(reader.next().await.expect("valid HTTP").expect("a message").status(), Some(204));
     for cut in [head.len() + 1, head.len() + 9, text.len() - 22] {
         assert!(Reader::new(&text[..cut]).next().await.is_err(), "cut at {cut}");
     }
--- a/crates/fault-injection/tests/compatibility.rs
+++ b/crates/fault-injection/tests/compatibility.rs
@@ -18,7 +18,7 @@
 const PLAN: &str = include_str!("fixtures/every-key.plan.json");
 
 fn parsed(text: &str) -> Scenario {
-    Scenario::parse(text, None).expect("a sound file")
+    Scenario::parse(text, None).expect("a valid scenario file")
 }
 
 fn tenant(name: &str, share: f64, quota_per_s: f64) -> Tenant {
--- a/crates/fault-injection/tests/relays.rs
+++ b/crates/fault-injection/tests/relays.rs
@@ -78,7 +78,7 @@
     inject(&network, SERVER, ME, CUT);
     open.write_all(b"during").expect("written");
     open.set_read_timeout(Some(QUIET)).expect("set");
-    let silent = open.read(&mut [0; 64]).expect_err("nothing passes, not even a reset");
+    let silent = open.read(&mut [0; 64]).expect_err("neither data nor a reset passes the cut");
     assert_eq!(silent.kind(), ErrorKind::WouldBlock);
     // Connections may still be established until the relay has filled its backlog.
     until("no new connections", || TcpStream::connect_timeout(&relay.address, QUIET).is_err());
@@ -145,7 +145,7 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut got = vec![0; text.len()];
-    socket.read_exact(&mut got).expect("all of it");
+    socket.read_exact(&mut got).expect("all bytes are echoed");
     assert_eq!(got, text);
 }
 
--- a/crates/fleet/src/process/tests.rs
+++ b/crates/fleet/src/process/tests.rs
@@ -14,7 +14,7 @@
 fn spawn_sleeping(state_directory: &Path, variable: &str, identity: &InstanceIdentity) -> Child {
     let mut command = Command::new("sleep");
     command.arg("600").env(variable, identity.encode(state_directory));
-    command.spawn().expect("it starts")
+    command.spawn().expect("`sleep` starts")
 }
 
 #[test]
@@ -46,7 +46,7 @@
 
 #[test]
 fn exit_status_of_a_child_is_reported() {
-    let child = Command::new("sh").args(["-c", "exit 7"]).spawn().expect("it starts");
+    let child = Command::new("sh").args(["-c", "exit 7"]).spawn().expect("the shell starts");
     let mut process = Process::from_child(child).expect("held");
     until("the child ends", || process.has_ended());
     assert_eq!(process.reap().to_string(), "ended with status 7");
--- a/crates/fleet/src/stall/tests.rs
+++ b/crates/fleet/src/stall/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn sample_is_parsed_with_any_process_name() {
     let stat = "7 (a) S (b) R 1 7 7 0 -1";
-    let read = SchedulerSample::parse(stat, "1500000 99 12\n").expect("sound");
+    let read = SchedulerSample::parse(stat, "1500000 99 12\n").expect("a valid sample");
     assert_eq!(
         read,
         SchedulerSample { state: 'R', cpu_time: Duration::from_micros(1500), timeslices: 12 }
@@ -68,7 +68,7 @@
     let mut stall = None;
     until("a stall is detected", || {
         std::thread::sleep(ms(20));
-        let read = SchedulerSample::read(child.id()).expect("it is there");
+        let read = SchedulerSample::read(child.id()).expect("the process exists");
         stall = detector.observe(began.elapsed(), read);
         stall.is_some()
     });
@@ -79,7 +79,7 @@
 fn kinds_of_stalls_of_real_processes_are_distinguished() {
     let start = |program: &str, arguments: &[&str]| {
         let mut command = Command::new(program);
-        command.args(arguments).stdin(Stdio::null()).spawn().expect("it starts")
+        command.args(arguments).stdin(Stdio::null()).spawn().expect("the process starts")
     };
     let mut asleep = start("sleep", &["600"]);
     assert_eq!(detect(&asleep), Some(Stall::Asleep));
--- a/crates/fleet/tests/compatibility.rs
+++ b/crates/fleet/tests/compatibility.rs
@@ -160,7 +160,7 @@
                 Some(_) => Err(recorded_error(&name)),
                 None => Ok(serde_json::from_value(response["ok"].clone()).expect("a response")),
             };
-            assert!(reply.send(result).is_ok(), "it waits");
+            assert!(reply.send(result).is_ok(), "the control server waits for the reply");
         }
         let mut response = String::new();
         BufReader::new(socket).read_line(&mut response).expect("a response");
@@ -240,7 +240,7 @@
     listen(&socket, 4).expect("listening");
     let mut command = Command::new(env!("CARGO_BIN_EXE_lb-fleet"));
     command.arg("hold").env_clear().stdin(socket).stdout(Stdio::null());
-    let mut process = command.spawn().expect("it starts");
+    let mut process = command.spawn().expect("the holder process starts");
 
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let daemon = connect_to_holder(&path);
@@ -268,7 +268,8 @@
     let identity = format!("{}|utrecht-0|3|2", folder.path().display());
     for variable in ["LB_FLEET", "PLANKVALE_FLEET"] {
         let mut command = Command::new("sleep");
-        let mut child = command.arg("600").env(variable, &identity).spawn().expect("it starts");
+        let mut child =
+            command.arg("600").env(variable, &identity).spawn().expect("`sleep` starts");
         until("the instance is found", || find_instances(folder.path()).len() == 1);
         let (identity, process) = find_instances(folder.path()).remove(0);
         assert_eq!(
--- a/crates/fleet/tests/planner/faults.rs
+++ b/crates/fleet/tests/planner/faults.rs
@@ -101,7 +101,7 @@
         if let Some(id) = self.draw_id() {
             self.log.push(format!("{:?}: {id} hangs", self.now));
             let visible_stall = self.rng.random_bool(0.5).then_some(Stall::Asleep);
-            let simulated = self.processes.get_mut(&id).expect("it is there");
+            let simulated = self.processes.get_mut(&id).expect("the process exists");
             (simulated.hung, simulated.visible_stall) = (true, visible_stall);
         }
     }
@@ -109,7 +109,7 @@
     fn starve_process(&mut self) {
         if let Some(id) = self.draw_id() {
             let until = self.now + self.millis(500, 3500);
-            self.processes.get_mut(&id).expect("it is there").starved_until = until;
+            self.processes.get_mut(&id).expect("the process exists").starved_until = until;
         }
     }
 
--- a/crates/fleet/tests/planner/main.rs
+++ b/crates/fleet/tests/planner/main.rs
@@ -115,7 +115,7 @@
     let mut world = settled_world(3);
     world.defects.insert(1, Defect::Ends);
     let slot = world.desired.slots.first().expect("a slot").clone();
-    let id = world.processes_of(&slot).next().expect("it serves").process.id;
+    let id = world.processes_of(&slot).next().expect("the slot has a process").process.id;
     world.processes.remove(&id.0);
     let before = world.next;
     for _ in 0..3000 {
@@ -192,8 +192,8 @@
         [(Some(Stall::Stopped), 800, 1100), (Some(Stall::Spinning), 800, 1100), (None, 4900, 5200)]
     {
         let mut world = settled_world(5);
-        let id = *world.processes.keys().next().expect("it serves");
-        let simulated = world.processes.get_mut(&id).expect("it is there");
+        let id = *world.processes.keys().next().expect("the world has a process");
+        let simulated = world.processes.get_mut(&id).expect("the process exists");
         (simulated.hung, simulated.visible_stall) = (true, visible_stall);
         let began = world.now;
         while world.processes.get(&id).is_some_and(|simulated| !simulated.killed) {
--- a/crates/fleet/tests/planner/world.rs
+++ b/crates/fleet/tests/planner/world.rs
@@ -265,7 +265,7 @@
     fn reload(&mut self, process: ProcessId, generation: u64) {
         let lost = self.faults_are_on() && self.chance(0.1);
         let at = self.now + self.millis(0, 400);
-        let simulated = self.processes.get_mut(&process.0).expect("it is there");
+        let simulated = self.processes.get_mut(&process.0).expect("the process exists");
         if !lost && !simulated.hung {
             simulated.reload = Some((generation, at));
         }
@@ -298,7 +298,7 @@
         self.check(!healthy || replacement, &format!("{process:?} is healthy, and killed"));
         // It may take a while to end.
         let end = self.now + self.millis(0, 500);
-        let simulated = self.processes.get_mut(&process.0).expect("it is there");
+        let simulated = self.processes.get_mut(&process.0).expect("the process exists");
         simulated.killed = true;
         simulated.ends_at = Some(simulated.ends_at.unwrap_or(end).min(end));
     }
@@ -382,7 +382,7 @@
     /// Tells a process to drain. It does unless it hangs or ignores signals.
     pub fn begin_draining(&mut self, id: u64) {
         let (now, drains) = (self.now, self.millis(100, 3000));
-        let simulated = self.processes.get_mut(&id).expect("it is there");
+        let simulated = self.processes.get_mut(&id).expect("the process exists");
         simulated.told_to_end = true;
         if !simulated.ignores_signals && !simulated.hung {
             simulated.process.draining = true;
--- a/crates/fleet/tests/state_directory.rs
+++ b/crates/fleet/tests/state_directory.rs
@@ -15,7 +15,8 @@
     let error = StateDirectory::open(folder.path()).err().expect("taken").to_string();
     assert!(error.contains("another daemon"), "{error}");
     drop(first);
-    let mode = fs::metadata(folder.path()).expect("there").permissions().mode();
+    let mode =
+        fs::metadata(folder.path()).expect("the state directory exists").permissions().mode();
     assert_eq!(mode & 0o777, 0o700);
     StateDirectory::open(folder.path()).expect("free again");
 }
@@ -30,7 +31,7 @@
     }
     state.target = 7;
     directory.store(&state).expect("stored");
-    let loaded = directory.load().expect("there");
+    let loaded = directory.load().expect("the stored state can be loaded");
     assert_eq!((loaded.target, loaded.history.len()), (7, MAX_HISTORY_ENTRIES));
     assert_eq!(loaded.history[0].event, "5");
     fs::write(directory.file("ledger.json"), b"{\"last\":").expect("written");
--- a/crates/local-cluster/tests/hard_cases/daemon.rs
+++ b/crates/local-cluster/tests/hard_cases/daemon.rs
@@ -20,7 +20,7 @@
 fn second_daemon_on_the_same_state_refuses_to_start() {
     let host = start_host(3);
     let before = host.pids();
-    let out = host.daemon_command().stderr(Stdio::piped()).output().expect("it starts");
+    let out = host.daemon_command().stderr(Stdio::piped()).output().expect("the daemon runs");
     assert_eq!(out.status.code(), Some(2));
     let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(error.contains("another daemon"), "{error}");
@@ -49,7 +49,7 @@
                 .map(|(pid, _, _)| *pid)
         }
     };
-    let daemon = host.daemon().expect("it runs").id();
+    let daemon = host.daemon().expect("the daemon is running").id();
     let first = find_holder()(daemon).expect("a holder");
     signal_process(first, Signal::KILL);
     until("another holder has started", || {
@@ -92,11 +92,12 @@
 fn control_socket_tolerates_garbage_and_incomplete_requests() {
     let host = start_host(3);
     let path = host.state_directory().join("control.sock");
-    let idle: Vec<_> = (0..10).map(|_| UnixStream::connect(&path).expect("it listens")).collect();
-    let mut incomplete = UnixStream::connect(&path).expect("it listens");
+    let idle: Vec<_> =
+        (0..10).map(|_| UnixStream::connect(&path).expect("the daemon listens")).collect();
+    let mut incomplete = UnixStream::connect(&path).expect("the daemon listens");
     incomplete.write_all(b"{\"do\":\"sta").expect("sent");
     for garbage in [&b"\n"[..], b"{\"do\":\"nothing\"}\n", b"\xff\xfe\n", &[b'a'; 9000]] {
-        let mut socket = UnixStream::connect(&path).expect("it listens");
+        let mut socket = UnixStream::connect(&path).expect("the daemon listens");
         let _ = socket.write_all(garbage);
         let _ = socket.shutdown(std::net::Shutdown::Write);
         let mut response = String::new();
@@ -105,7 +106,7 @@
     }
     assert!(host.status()["pid"].is_u64());
     drop((idle, incomplete));
-    let mode = std::fs::metadata(host.state_directory()).expect("there").permissions();
+    let mode = std::fs::metadata(host.state_directory()).expect("a state directory").permissions();
     assert_eq!(
         std::os::unix::fs::PermissionsExt::mode(&mode) & 0o077,
         0,
@@ -121,7 +122,7 @@
     let service_manager = UnixDatagram::bind(&path).expect("a socket");
     service_manager.set_read_timeout(Some(TIMEOUT)).expect("a time");
     let mut command = host.daemon_command();
-    let mut daemon = command.env("NOTIFY_SOCKET", &path).spawn().expect("it starts");
+    let mut daemon = command.env("NOTIFY_SOCKET", &path).spawn().expect("the daemon starts");
     let wait_for = |text: &str| {
         let end = Instant::now() + TIMEOUT;
         let mut buf = [0; 512];
@@ -159,13 +160,13 @@
         slots.iter().any(|s| s["open"].as_u64().unwrap_or(0) > 0)
     });
     for instance in host.instances() {
-        host.account().expect_kill(instance.listen.expect("it listens"));
+        host.account().expect_kill(instance.listen.expect("the instance has a listen address"));
     }
     host.signal_daemon(Signal::TERM);
     until("the daemon drains", || host.status()["stopping"] == true);
     let started = Instant::now();
     host.signal_daemon(Signal::TERM);
-    let daemon = host.daemon().expect("it runs");
+    let daemon = host.daemon().expect("the daemon is running");
     until("the daemon ends", || daemon.try_wait().expect("a child").is_some());
     // Without the second signal, the daemon would wait for open requests, whose longest deadline is two minutes.
     assert!(started.elapsed() < Duration::from_secs(60));
--- a/crates/local-cluster/tests/hard_cases/instances.rs
+++ b/crates/local-cluster/tests/hard_cases/instances.rs
@@ -14,8 +14,8 @@
 fn hung_instance_is_detected_and_replaced() {
     let host = start_host(3);
     let one = host.instances().remove(0);
-    let pid = one.pid.expect("it runs");
-    host.account().expect_kill(one.listen.expect("it listens"));
+    let pid = one.pid.expect("the instance has a process");
+    host.account().expect_kill(one.listen.expect("the instance has a listen address"));
     signal_process(pid, Signal::STOP);
     until("the hang is detected", || history_contains(&host, "fell silent: it was stopped"));
     until("another process serves", || {
@@ -29,8 +29,8 @@
     let plan = Plan { classes: classes(1.0), ..plan(3) };
     let host = start_host_with(plan);
     let one = host.instances().remove(0);
-    let pid = one.pid.expect("it runs");
-    host.account().expect_kill(one.listen.expect("it listens"));
+    let pid = one.pid.expect("the instance has a process");
+    host.account().expect_kill(one.listen.expect("the instance has a listen address"));
     // A paused process handles no signal. Its last status is recent, so the daemon does not find it hung before the
     // successor has started.
     signal_process(pid, Signal::STOP);
--- a/crates/local-cluster/tests/hard_cases/rollouts.rs
+++ b/crates/local-cluster/tests/hard_cases/rollouts.rs
@@ -42,7 +42,7 @@
     load.stop();
     let pids = host.pids();
     host.signal_daemon(Signal::TERM);
-    let daemon = host.daemon().expect("it runs");
+    let daemon = host.daemon().expect("the daemon is running");
     let mut status = None;
     until("the daemon ends", || {
         status = daemon.try_wait().expect("a child");
@@ -151,7 +151,7 @@
 #[test]
 fn busy_connection_is_closed_gracefully_on_reload() {
     let host = start_host(3);
-    let at = host.instances()[0].listen.expect("it listens");
+    let at = host.instances()[0].listen.expect("the instance has a listen address");
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let busy = std::thread::spawn({
         let stop = stop.clone();
--- a/crates/local-cluster/tests/sample.rs
+++ b/crates/local-cluster/tests/sample.rs
@@ -24,7 +24,7 @@
         let config = spec.configuration(&slot, 1, at, 7).expect("a configuration");
         let path = folder.path().join("config.json");
         std::fs::write(&path, config.to_string()).expect("written");
-        let out = Command::new(&sidecar).arg("check").arg(&path).output().expect("it starts");
+        let out = Command::new(&sidecar).arg("check").arg(&path).output().expect("lb-sidecar runs");
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 }
--- a/crates/runtime/tests/stream.rs
+++ b/crates/runtime/tests/stream.rs
@@ -29,7 +29,7 @@
     let socket = Rc::new(TcpStream::connect(address).await.expect("connected"));
     let (mut peer, _) = listener.accept().await.expect("accepted");
     peer.write_all(b"early").await.expect("sent");
-    socket.readable().await.expect("it arrives");
+    socket.readable().await.expect("the early bytes arrive");
     let mut stream = Stream::new(socket, Rc::new(IdleRequirement { is_required }));
     let written = stream.write_all(b"request").await;
     let mut received = vec![0; 16];
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -7,7 +7,7 @@
     let mut names = std::collections::BTreeSet::new();
     for seed in 0..400 {
         let drawn = Scenario::draw(seed);
-        drawn.validate().expect("it can be played");
+        drawn.validate().expect("the drawn scenario is valid");
         assert_eq!(drawn, Scenario::draw(seed));
         let read: Scenario = toml::from_str(&drawn.text()).expect("its own text");
         assert_eq!(read.text(), drawn.text());
@@ -21,7 +21,7 @@
     let mut names = std::collections::BTreeSet::new();
     for seed in 0..100 {
         let drawn = Scenario::draw_with_discovery_faults(seed);
-        drawn.validate().expect("it can be played");
+        drawn.validate().expect("the drawn scenario is valid");
         let read: Scenario = toml::from_str(&drawn.text()).expect("its own text");
         assert_eq!(read.text(), drawn.text());
         names.extend(drawn.faults.iter().map(|fault| fault.kind.name()));
@@ -33,7 +33,7 @@
 fn assert_all_have_fault(draw: fn(u64) -> Scenario, name: &str) {
     for seed in 0..100 {
         let drawn = draw(seed);
-        drawn.validate().expect("it can be played");
+        drawn.validate().expect("the drawn scenario is valid");
         let read: Scenario = toml::from_str(&drawn.text()).expect("its own text");
         assert_eq!(read.text(), drawn.text());
         assert!(drawn.faults.iter().any(|fault| fault.kind.name() == name), "seed {seed}");
@@ -50,7 +50,7 @@
 fn scenarios_with_hold_ups_hold_up_each_sidecar_repeatedly() {
     for seed in 0..100 {
         let drawn = Scenario::draw_with_hold_ups(seed);
-        drawn.validate().expect("it can be played");
+        drawn.validate().expect("the drawn scenario is valid");
         let read: Scenario = toml::from_str(&drawn.text()).expect("its own text");
         assert_eq!(read.text(), drawn.text());
         assert!(drawn.longest_hold_up() < Duration::from_millis(150), "{}", drawn.text());
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -146,7 +146,7 @@
         let out = Command::new(env!("CARGO_BIN_EXE_lb-simulation"))
             .args(["play", &seed.to_string()])
             .output()
-            .expect("it starts");
+            .expect("lb-simulation runs");
         let stdout = String::from_utf8_lossy(&out.stdout).into_owned();
         assert!(
             stdout.contains(&format!("hash {:016x}, {} steps", one.hash, one.event_count)),
--- a/src/sidecar/admin/state/tests.rs
+++ b/src/sidecar/admin/state/tests.rs
@@ -9,11 +9,15 @@
     let enable = Command::EnableServer("a".into());
     let mut state = AdminState::default();
     assert_eq!(state.apply(&disable, is_listed), Ok(()));
-    assert_eq!(state.apply(&disable, |_| false), Ok(()), "it may have left the list meanwhile");
+    assert_eq!(
+        state.apply(&disable, |_| false),
+        Ok(()),
+        "the server may have left the list meanwhile"
+    );
     assert!(state.disabled_servers.contains("a"));
     assert_eq!(state.apply(&enable, |_| false), Ok(()));
     assert_eq!(state, AdminState::default());
-    assert_eq!(state.apply(&enable, is_listed), Ok(()), "it is enabled");
+    assert_eq!(state.apply(&enable, is_listed), Ok(()), "the server is enabled already");
 }
 
 #[test]
--- a/src/sidecar/admin/state_file/tests.rs
+++ b/src/sidecar/admin/state_file/tests.rs
@@ -28,7 +28,7 @@
     let directory = directory("two");
     let (a, b) = (StateFile::new(&directory, "n0"), StateFile::new(&directory, "n0"));
     block_on(async {
-        assert_eq!(b.read_if_changed().expect("read"), None, "there is no file yet");
+        assert_eq!(b.read_if_changed().expect("read"), None, "the state file does not exist yet");
         a.update::<TokioRuntime>(disable("x")).await.expect("written");
         let seen = b.read_if_changed().expect("read").expect("a change");
         assert!(seen.disabled_servers.contains("x"));
--- a/src/sidecar/upload/tests.rs
+++ b/src/sidecar/upload/tests.rs
@@ -63,6 +63,6 @@
     let upload = upload("kept", " and more");
     let mut attempt = UploadAttempt::new(upload.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    runtime.block_on(upload.drain()).expect("it is complete");
+    runtime.block_on(upload.drain()).expect("the request body is complete");
     assert!(read_all(&mut attempt).is_err());
 }
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -265,7 +265,7 @@
         }
         sends
     };
-    assert_eq!(sends_with_time_left(S, 1), 200, "there is enough time");
+    assert_eq!(sends_with_time_left(S, 1), 200, "all requests are sent if there is enough time");
     let few = sends_with_time_left(10 * MS, 4);
     assert!((2..=25).contains(&few), "{few}");
     assert_eq!(sends_with_time_left(19 * MS, 5), 200, "the response may be in time by chance");
--- a/tests/balancer/ejection.rs
+++ b/tests/balancer/ejection.rs
@@ -119,7 +119,11 @@
     }
     assert!(failures >= 20, "{failures} were in flight to the server");
     let elapsed = time_until_used(&mut b, crashed);
-    assert!(elapsed < MAX_FIRST_EJECTION_TIME, "it is used again after {} ms", elapsed / MS);
+    assert!(
+        elapsed < MAX_FIRST_EJECTION_TIME,
+        "the crashed server is used again only after {} ms",
+        elapsed / MS
+    );
 }
 
 /// Guards against counting failures while ejection is ignored as failed trials: the failures of half a second kept a
@@ -160,5 +164,5 @@
     // The longest deadline is 1.5 s, and the ejection time varies by up to a quarter.
     let bound = 8 * 1500 * MS * 5 / 4;
     let elapsed = time_until_used(&mut b, failing);
-    assert!(elapsed < bound, "it is used again after {} ms", elapsed / MS);
+    assert!(elapsed < bound, "the failing server is used again only after {} ms", elapsed / MS);
 }
